--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,8 +1,12 @@
-"""The decision module's size, that its first lines name the interface, and what its work grows with."""
+"""Where the decisions lie and what they may use, and what the decision module's work grows with."""
 
 from __future__ import annotations
 
+import ast
+import inspect
+import tomllib
 from _collections_abc import dict_items
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
@@ -13,14 +17,43 @@
 from lab.capacity.proxies import settings as planned_settings
 from tests.rig import Rig
 
-MODULE = Path(__file__).parent.parent / "capershelf" / "control.py"
+ROOT = Path(__file__).parent.parent
+POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
+ESTIMATION = sorted((ROOT / "capershelf" / "estimation").glob("*.py"))
+OWN_IMPORTS = ("capershelf.interface", "capershelf.estimation")
+PURE_IMPORTS = {"__future__", "collections", "collections.abc", "dataclasses", "math", "random", "zlib"}
+IO_BUILTINS = {"__import__", "breakpoint", "compile", "eval", "exec", "input", "open", "print"}
 
 
-def test_the_module_stays_within_its_limits() -> None:
-    lines = MODULE.read_text().splitlines()
-    assert sum(1 for line in lines if line.strip()) <= 740
-    assert max(map(len, lines)) <= 110
-    assert "capershelf/interface.py" in lines[0]
+def imports_of(tree: ast.Module) -> Iterator[str]:
+    """The modules that a source imports, wherever in it; a relative import as dots."""
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Import):
+            yield from (alias.name for alias in node.names)
+        elif isinstance(node, ast.ImportFrom):
+            yield "." * node.level + (node.module or "")
+
+
+def is_allowed(module: str) -> bool:
+    own = any(module == name or module.startswith(name + ".") for name in OWN_IMPORTS)
+    return own or module in PURE_IMPORTS
+
+
+@pytest.mark.parametrize("path", [*POLICY, *ESTIMATION], ids=lambda path: str(path.relative_to(ROOT)))
+def test_decisions_do_no_input_or_output(path: Path) -> None:
+    """A decision module imports the interface, the estimation and pure standard modules, nothing else."""
+    tree = ast.parse(path.read_text())
+    assert [module for module in imports_of(tree) if not is_allowed(module)] == []
+    names = {node.id for node in ast.walk(tree) if isinstance(node, ast.Name)}
+    assert names & IO_BUILTINS == set()
+
+
+def test_the_decisions_lie_in_the_modules_that_the_deploy_file_names() -> None:
+    assert Path(inspect.getfile(Controller)) in POLICY
+    for path in POLICY:
+        lines = path.read_text().splitlines()
+        assert max(map(len, lines)) <= 110
+        assert "capershelf/interface.py" in lines[0]
 
 
 def test_numbers_all_young_are_not_looked_through_at_every_call() -> None:
