--- a/capershelf/control.py
+++ b/capershelf/control.py
@@ -12,9 +12,33 @@
 from collections import deque
 
 from capershelf.interface import (
-    Action, AttemptOver, CallClass, CallerGone, Cancel, Event, Fail, LearnedServer, ListedServer, Log,
-    NewCall, NewSettings, Probe, Recalled, Refuse, Report, Result, Send, ServerList, ServerReport,
-    SetTimer, Settings, Standing, Stands, TimerFired, WayMended, Why,
+    Action,
+    AttemptOver,
+    CallClass,
+    CallerGone,
+    Cancel,
+    Event,
+    Fail,
+    LearnedServer,
+    ListedServer,
+    Log,
+    NewCall,
+    NewSettings,
+    Probe,
+    Recalled,
+    Refuse,
+    Report,
+    Result,
+    Send,
+    ServerList,
+    ServerReport,
+    SetTimer,
+    Settings,
+    Standing,
+    Stands,
+    TimerFired,
+    WayMended,
+    Why,
 )
 from capershelf.estimation import RATE_MS, ColdTokens, FleetEstimates, Quotas, Rate, Timing
 
@@ -82,9 +106,27 @@
 class Call:
     """A call's life here: held (server None), out (server set); ready_ms is when its release is over."""
 
-    __slots__ = ("number", "id", "kind", "far_end", "weight", "expires_ms", "arrived_ms", "aim_at_ms",
-                 "worth", "attempts", "fulls", "tried", "server", "sent_ms", "ready_ms", "cancelled",
-                 "give_up_ms", "timeout_ms", "errors")
+    __slots__ = (
+        "number",
+        "id",
+        "kind",
+        "far_end",
+        "weight",
+        "expires_ms",
+        "arrived_ms",
+        "aim_at_ms",
+        "worth",
+        "attempts",
+        "fulls",
+        "tried",
+        "server",
+        "sent_ms",
+        "ready_ms",
+        "cancelled",
+        "give_up_ms",
+        "timeout_ms",
+        "errors",
+    )
 
     def __init__(self, event: NewCall, kind: CallClass, now_ms: float) -> None:
         self.id, self.number, self.far_end, self.kind = event.call, event.number, event.far_end, kind
@@ -167,8 +209,9 @@
 
     def seen(self, now_ms: float) -> float:
         """The wait last seen; it fades where what all senders ask of the server is known."""
-        return self.seen_wait_ms * (1.0 if self.fade_ms == math.inf else math.exp(
-            min(0.0, self.seen_at_ms - now_ms) / self.fade_ms))
+        return self.seen_wait_ms * (
+            1.0 if self.fade_ms == math.inf else math.exp(min(0.0, self.seen_at_ms - now_ms) / self.fade_ms)
+        )
 
     def overtaken(self, call: Call) -> bool:
         """Whether one sent well after it was answered: its own answer is lost, or another's business.
@@ -599,8 +642,15 @@
         # server has lately been seen to work: it could not be heard there else.
         heard = self.now_ms - gate.heard_ms <= self.limit_ms
         soon_ms = silent_ms - self.limit_ms if heard else math.inf
-        lost = [c for c in gate.out.values() if not c.cancelled and (
-            self.now_ms - c.sent_ms > (soon_ms if gate.overtaken(c) else silent_ms if silence else math.inf))]
+        lost = [
+            c
+            for c in gate.out.values()
+            if not c.cancelled
+            and (
+                self.now_ms - c.sent_ms
+                > (soon_ms if gate.overtaken(c) else silent_ms if silence else math.inf)
+            )
+        ]
         if lost and self.settings.may_cancel and clear is not None:
             clear = clear if self.open(clear) else next(filter(self.open, self.gates.values()), None)
             for call in lost if clear is not None else ():
@@ -622,10 +672,13 @@
             # Not where its caller will not stay for the answer; one who stays a while may try any server.
             and min(gate.seen(self.now_ms), STAY * self.limit_ms) < call.expires_ms - self.now_ms
             # Late redials and others of little worth leave what is pressed, and the last lines, alone.
-            and (call.worth >= POOR * self.least_worth or (
-                gate.seen(self.now_ms) <= POOR_FACTOR * self.limit_ms
-                and (gate.free_lines is None or gate.free_lines >= KEPT_LINES * gate.lines)
-            ))
+            and (
+                call.worth >= POOR * self.least_worth
+                or (
+                    gate.seen(self.now_ms) <= POOR_FACTOR * self.limit_ms
+                    and (gate.free_lines is None or gate.free_lines >= KEPT_LINES * gate.lines)
+                )
+            )
         )
 
     def way(self, call: Call, gate: Gate) -> tuple[bool, float]:
