--- a/capershelf/benchlink.py
+++ b/capershelf/benchlink.py
@@ -25,19 +25,19 @@
     "stale_send": api.Result.NOT_SENT,
 }
 STANDINGS = {
-    "active": api.Standing.ACTIVE,
-    "leaving": api.Standing.DRAINING,
-    "left": api.Standing.GONE,
+    "active": api.ServerStatus.ACTIVE,
+    "leaving": api.ServerStatus.DRAINING,
+    "left": api.ServerStatus.REMOVED,
 }
-WHYS = {1: api.Why.NO_LINE, 3: api.Why.PROCESSOR_FULL, 4: api.Why.NUMBER_BUSY}
-EMPTY = api.Report()
+WHYS = {1: api.RefusalReason.NO_LINE, 3: api.RefusalReason.PROCESSOR_FULL, 4: api.RefusalReason.NUMBER_BUSY}
+EMPTY = api.LoadReport()
 
 
 class WireError(Exception):
     """A line that is not of the wire."""
 
 
-def read_report(text: str) -> api.Report:
+def read_report(text: str) -> api.LoadReport:
     """A load report; fields that are unknown or negative count as not given."""
     if text == "-":
         return EMPTY
@@ -47,7 +47,7 @@
         number = float(value)
         if number >= 0:
             found[name] = number
-    return api.Report.of(found)
+    return api.LoadReport.from_fields(found)
 
 
 class Adapter:
@@ -79,19 +79,19 @@
         if verb == "alarm":
             return who, api.TimerFired(parts[2])
         if verb == "ack_first":
-            return who, api.Stands(int(parts[2]), int(parts[3]), parts[4], float(parts[5]))
+            return who, api.AttemptSucceeded(int(parts[2]), int(parts[3]), parts[4], float(parts[5]))
         if verb == "completed":
             _, _, call, reason, settled, note, _, server, attempt, pressure = parts
             code = 0 if note == "-" else int(float(note))
             stated = float(code >> 4) if code & 15 == 3 and code > 15 else None
-            why = WHYS.get(code & 15, api.Why.UNSAID)
+            why = WHYS.get(code & 15, api.RefusalReason.UNSPECIFIED)
             report = None if pressure == "-" else read_report(pressure)
-            over = api.AttemptOver(
+            over = api.AttemptEnded(
                 int(call), int(attempt), server, RESULTS[reason], settled == "1", why, stated, report
             )
             return who, over
         if verb == "client_gone":
-            return who, api.CallerGone(int(parts[2]))
+            return who, api.CallAbandoned(int(parts[2]))
         if verb == "health":
             wait_ms = float(parts[4])
             result = RESULTS[parts[3]]
--- a/capershelf/commands/memory.py
+++ b/capershelf/commands/memory.py
@@ -247,9 +247,9 @@
             one.server,
             figure(one.rate_per_s, ".2f"),
             figure(one.wait_ms),
-            figure(one.base_ms),
+            figure(one.base_latency_ms),
             figure(one.threshold),
-            "yes" if one.silent else "",
+            "yes" if one.ejected else "",
         )
         for one in known
     ]
--- a/capershelf/config.py
+++ b/capershelf/config.py
@@ -11,7 +11,11 @@
 
 from capershelf import interface as api
 
-REPORTS = {"piggyback": api.Reports.ANSWERS, "pull": api.Reports.PROBES, "silent": api.Reports.NONE}
+REPORTS = {
+    "piggyback": api.LoadReportSource.ANSWERS,
+    "pull": api.LoadReportSource.PROBES,
+    "silent": api.LoadReportSource.NONE,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -291,7 +295,7 @@
                 deadline_ms=_number(entry, path, "deadline"),
                 worth=_number(entry, path, "credit", 1.0),
                 late_worth=_number(entry, path, "late-worth", 0.0),
-                places=_places(family, index),
+                pools=_places(family, index),
                 width=int(widths[index]) if index < len(widths) else 1,
                 hold_ms=_number({"": lengths[index]}, path, "") if index < len(lengths) else None,
             )
@@ -320,7 +324,7 @@
         over_quota_worth=_number(info, "", "over-share-worth", 1.0),
         may_cancel=bool(bounds.get("cancel", False)),
         may_probe=bool(bounds.get("may-probe", False)),
-        retry_after_max_ms=_number(bounds, "bounds.", "max-retry-after", 0.0) if advice else 0.0,
-        reports=REPORTS.get(str(telemetry.get("via", "silent")), api.Reports.NONE),
-        states_wait=bool(family.get("says-wait", False)),
+        max_retry_after_ms=_number(bounds, "bounds.", "max-retry-after", 0.0) if advice else 0.0,
+        load_report_source=REPORTS.get(str(telemetry.get("via", "silent")), api.LoadReportSource.NONE),
+        reports_wait=bool(family.get("says-wait", False)),
     )
--- a/capershelf/control.py
+++ b/capershelf/control.py
@@ -13,9 +13,9 @@
 
 from capershelf.interface import (
     Action,
-    AttemptOver,
+    AttemptEnded,
     CallClass,
-    CallerGone,
+    CallAbandoned,
     Cancel,
     Event,
     Fail,
@@ -23,22 +23,22 @@
     ListedServer,
     Log,
     NewCall,
-    NewSettings,
+    SettingsChanged,
     Probe,
-    Recalled,
+    RestoredKnowledge,
     Refuse,
-    Report,
+    LoadReport,
     Result,
     Send,
     ServerList,
     ServerReport,
     SetTimer,
     Settings,
-    Standing,
-    Stands,
+    ServerStatus,
+    AttemptSucceeded,
     TimerFired,
-    WayMended,
-    Why,
+    ConnectionReplaced,
+    RefusalReason,
 )
 from capershelf.estimation import RATE_MS, ColdTokens, FleetEstimates, Quotas, Rate, Timing
 
@@ -129,7 +129,7 @@
     )
 
     def __init__(self, event: NewCall, kind: CallClass, now_ms: float) -> None:
-        self.id, self.number, self.far_end, self.kind = event.call, event.number, event.far_end, kind
+        self.id, self.number, self.far_end, self.kind = event.call, event.number, event.preferred_pool, kind
         self.weight = float(max(1, event.width))
         self.expires_ms = event.expires_ms
         self.arrived_ms = now_ms
@@ -147,9 +147,9 @@
 
     def __init__(self, listed: ListedServer, rank: int, overtaken_ms: float = math.inf) -> None:
         self.id = listed.server
-        self.place = listed.place
+        self.place = listed.pool
         self.rank = rank  # position in the sender's hash order
-        self.standing = listed.standing
+        self.standing = listed.status
         self.gone_ms = math.inf  # since when it is gone
         self.started_ms = listed.started_ms
         self.in_load = self.out_load = self.in_average = self.out_average = self.outstanding = 0.0
@@ -176,9 +176,9 @@
 
     def recall(self, known: LearnedServer) -> None:
         """Start from what is remembered; the cold budget never comes to know of it."""
-        self.usual_rate, self.silent = known.rate_per_s / 1000.0, known.silent
+        self.usual_rate, self.silent = known.rate_per_s / 1000.0, known.ejected
         self.seen_wait_ms = known.wait_ms
-        self.base_ms = math.inf if known.base_ms is None else known.base_ms
+        self.base_ms = math.inf if known.base_latency_ms is None else known.base_latency_ms
         self.threshold = math.inf if known.threshold is None else known.threshold
 
     # -- the detector ---------------------------------------------------------------------------------
@@ -304,9 +304,9 @@
         match event:
             case NewCall():
                 self.new_call(event)
-            case Stands():
+            case AttemptSucceeded():
                 self.stands(event)
-            case AttemptOver():
+            case AttemptEnded():
                 self.attempt_over(event)
             case ServerList():
                 self.follow_list(event)
@@ -316,15 +316,15 @@
                     self.take_report(gate, event.report)
                 if gate is not None and not event.probe:
                     gate.pulse(now_ms)
-            case WayMended():
+            case ConnectionReplaced():
                 if (gate := self.gates.get(event.server)) is not None and not gate.errors:
                     gate.silent, gate.seen_wait_ms, gate.pressed_ms = False, 0.0, -math.inf
-            case CallerGone():
+            case CallAbandoned():
                 self.forget(self.calls.get(event.call))
-            case Recalled():
+            case RestoredKnowledge():
                 self.recalled = {known.server: known for known in event.servers}
-                self.asked_before, self.recalled_ms = event.asked_per_s / 1000.0, now_ms
-            case NewSettings():
+                self.asked_before, self.recalled_ms = event.new_calls_per_s / 1000.0, now_ms
+            case SettingsChanged():
                 self.adopt(event.settings)
             case TimerFired():
                 if now_ms >= self.timer_ms - 1.0:
@@ -336,7 +336,7 @@
 
     def learned(self, server: str) -> LearnedServer | None:
         """What is known of a server, to be remembered; None of one that is not in service."""
-        if (gate := self.gates.get(server)) is None or gate.standing is not Standing.ACTIVE:
+        if (gate := self.gates.get(server)) is None or gate.standing is not ServerStatus.ACTIVE:
             return None
         rate = sum(1000.0 / self.pace_ms for at_ms in gate.answered_at if at_ms > self.now_ms - self.pace_ms)
         base_ms, threshold = (None if x == math.inf else x for x in (gate.base_ms, gate.threshold))
@@ -356,14 +356,14 @@
         if self.estimates.sheds(self.now_ms, call.worth, drawn(call, 0)):
             self.answer(call, Refuse(call.id))
 
-    def out_at(self, gate: Gate | None, event: Stands | AttemptOver) -> Call | None:
+    def out_at(self, gate: Gate | None, event: AttemptSucceeded | AttemptEnded) -> Call | None:
         """The call whose attempt the event tells of; None for what is late, repeated or unknown."""
         call = self.calls.get(event.call)
         if gate is None or call is None or call.server != gate.id or event.attempt != call.attempts - 1:
             return None
         return call
 
-    def stands(self, event: Stands) -> None:
+    def stands(self, event: AttemptSucceeded) -> None:
         gate = self.gates.get(event.server)
         call = self.out_at(gate, event)
         if gate is None or call is None:
@@ -391,7 +391,7 @@
         if gate.flagged:
             self.release(gate, call.weight)
 
-    def attempt_over(self, event: AttemptOver) -> None:
+    def attempt_over(self, event: AttemptEnded) -> None:
         gate = self.gates.get(event.server)
         self.take_report(gate, event.report)
         over = event.result is Result.OK and event.call not in self.calls
@@ -413,19 +413,19 @@
                 call.give_up_ms = max(call.give_up_ms, min(call.aim_at_ms, call.ready_ms + 2.0 * TICK_MS))
         elif event.result is not Result.NOT_SENT and event.result is not Result.NO_CONNECTION:
             gate.heard_ms = self.now_ms
-        if event.settled:
+        if event.call_finished:
             self.forget(call)
             return
         self.held[call.id] = call
         if event.result is Result.ERROR:
-            self.error(call, gate, event.why)
+            self.error(call, gate, event.reason)
         elif event.result is Result.FULL:
             call.tried.add(gate.id)
             call.fulls += 1
-            if event.why is Why.NO_LINE:
+            if event.reason is RefusalReason.NO_LINE:
                 gate.free_lines = 0.0
             else:
-                gate.news(self.now_ms, event.stated_wait_ms or 3.0 * self.limit_ms, 1.0)
+                gate.news(self.now_ms, event.reported_wait_ms or 3.0 * self.limit_ms, 1.0)
             if call.fulls >= TRIES:
                 self.answer(call, Refuse(call.id))
         elif event.result is Result.NO_CONNECTION:
@@ -434,7 +434,7 @@
         if call.id in self.held and call.ready_ms >= self.last_ms(call):
             self.answer(call, Refuse(call.id))  # no time to be sent again: not left to a timer
 
-    def error(self, call: Call, gate: Gate, why: Why) -> None:
+    def error(self, call: Call, gate: Gate, why: RefusalReason) -> None:
         """All lines of the number are busy, or the server fails its set-ups.
 
         A server that answers errors at once looks idle and would draw the traffic.  Errors on several numbers
@@ -455,7 +455,7 @@
             gate.failing = True
         call.tried.add(gate.id)
         call.errors += 1
-        if why is Why.NUMBER_BUSY and not gate.silent:
+        if why is RefusalReason.NUMBER_BUSY and not gate.silent:
             self.busy_until[call.number] = self.now_ms + BUSY_MS
             self.answer(call, Fail(call.id))
         elif call.errors >= CALL_ERRORS or not any(self.takes(other, call) for other in others):
@@ -467,11 +467,11 @@
         if event.version < self.version:
             return
         self.version = event.version
-        if event.whole:
+        if event.complete:
             named = {listed.server for listed in event.servers}
             for known in self.gates.values():
                 if known.id not in named:
-                    known.standing = Standing.GONE
+                    known.standing = ServerStatus.REMOVED
         for listed in event.servers:
             if (gate := self.gates.get(listed.server)) is None:
                 rank = zlib.crc32(f"{self.settings.gateway_no}/{listed.server}".encode())
@@ -481,35 +481,39 @@
                 if (learned := self.recalled.pop(gate.id, None)) is not None:
                     gate.recall(learned)
                 continue
-            came_back = gate.standing is Standing.GONE and listed.standing is Standing.ACTIVE
-            if gate.standing is not listed.standing:
-                self.log(gate, f"is now {listed.standing.value}")
-            gate.place, gate.standing = listed.place, listed.standing
+            came_back = gate.standing is ServerStatus.REMOVED and listed.status is ServerStatus.ACTIVE
+            if gate.standing is not listed.status:
+                self.log(gate, f"is now {listed.status.value}")
+            gate.place, gate.standing = listed.pool, listed.status
             gate.sender_share = listed.sender_share
             if listed.started_ms != gate.started_ms or came_back:
                 gate.started_ms = listed.started_ms or (self.now_ms if came_back else None)
                 gate.silent, gate.free_lines, gate.seen_wait_ms, gate.usual_rate = False, None, 0.0, 0.0
                 gate.tokens = self.cold_tokens(gate)
         for gate in self.gates.values():
-            gone = gate.standing is Standing.GONE
+            gone = gate.standing is ServerStatus.REMOVED
             gate.gone_ms = min(gate.gone_ms, self.now_ms) if gone else math.inf
         kept = (g for g in self.gates.values() if g.out or self.now_ms - g.gone_ms < GONE_MS)
         self.gates = {gate.id: gate for gate in sorted(kept, key=lambda gate: gate.rank)}
         servers = self.gates.values()
-        self.estimates.update_servers((g.id, g.standing is Standing.ACTIVE, g.started_ms) for g in servers)
+        self.estimates.update_servers(
+            (g.id, g.standing is ServerStatus.ACTIVE, g.started_ms) for g in servers
+        )
         self.at_place = {}
         for gate in self.gates.values():
             self.at_place.setdefault(gate.place, []).append(gate)
 
-    def take_report(self, gate: Gate | None, report: Report | None) -> None:
+    def take_report(self, gate: Gate | None, report: LoadReport | None) -> None:
         if gate is None or report is None:
             return
         if report.free_lines is not None:
             gate.free_lines, gate.lines = report.free_lines, report.lines or gate.lines
-        self.estimates.take_report(self.now_ms, gate.id, report.free_lines, report.lines, report.takes_per_s)
+        self.estimates.take_report(
+            self.now_ms, gate.id, report.free_lines, report.lines, report.allowed_per_s
+        )
         gate.fade_ms = math.inf
         if self.estimates.load_known(gate.id):  # by this sender's own gaps: its next send tells it more
-            gate.fade_ms = self.scale * FADE_MS + 1.0 / max(1e-6, self.part(gate) * self.asked_rate())
+            gate.fade_ms = self.scale * FADE_MS + 1.0 / max(1e-6, self.part(gate) * self.new_call_rate())
         if report.wait_ms is not None:
             gate.news(self.now_ms, report.wait_ms, NEWS_WEIGHT)
 
@@ -592,7 +596,7 @@
 
     def open(self, gate: Gate) -> bool:
         """Whether a call may pass now: neither flagged nor silent, paced, and warm or within budget."""
-        shut = gate.standing is not Standing.ACTIVE or self.look(gate) or gate.silent
+        shut = gate.standing is not ServerStatus.ACTIVE or self.look(gate) or gate.silent
         paced = len(self.held) > 1 and self.now_ms < gate.next_ms and not self.idle(gate)
         return not (shut or paced) and self.in_cold_budget(gate)
 
@@ -602,21 +606,21 @@
         calls that came at once were held and refused.  One that was pressed lately, or is cold, is paced."""
         if self.now_ms - gate.pressed_ms < self.pace_ms or self.warmth(gate) < 1.0:
             return False
-        usual = self.part(gate) * self.asked_rate() * IDLE_SHARE * self.limit_ms
+        usual = self.part(gate) * self.new_call_rate() * IDLE_SHARE * self.limit_ms
         return gate.outstanding + 1.0 <= usual
 
     def due(self, gate: Gate) -> bool:
         """Whether this flagged or silent server, with nothing outstanding, may be tried with one call now.
         The design sends one at once; with many senders these keep a slow server full.  So each leaves it for
         some of its own usual gaps, the more the longer the wait it saw: in all a share of its usual load."""
-        if gate.standing is not Standing.ACTIVE or gate.out or not (gate.flagged or gate.silent):
+        if gate.standing is not ServerStatus.ACTIVE or gate.out or not (gate.flagged or gate.silent):
             return False
-        gap_ms = 1.0 / max(1e-9, self.part(gate) * self.asked_rate())
+        gap_ms = 1.0 / max(1e-9, self.part(gate) * self.new_call_rate())
         gaps = min(MOST_GAPS, TRIAL_GAPS * (gate.seen(self.now_ms) / self.limit_ms) ** 2)
         pause_ms = max(self.trial_ms, gap_ms * max(SILENT_GAPS, gaps)) if gate.silent else gap_ms * gaps
         return self.now_ms - gate.tried_ms >= pause_ms
 
-    def asked_rate(self) -> float:
+    def new_call_rate(self) -> float:
         """What is asked for, by what was before this start until this life's own average stands."""
         before = self.asked_before * math.exp((self.recalled_ms - self.now_ms) / RATE_MS)
         return max(before, self.asked.value(self.now_ms))
@@ -665,9 +669,9 @@
     def takes(self, gate: Gate, call: Call) -> bool:
         """Whether the call may go to the server at all now, its gate aside."""
         return (
-            gate.standing is Standing.ACTIVE
+            gate.standing is ServerStatus.ACTIVE
             and gate.id not in call.tried
-            and (call.kind.places is None or gate.place in call.kind.places)
+            and (call.kind.pools is None or gate.place in call.kind.pools)
             and (gate.free_lines is None or gate.free_lines >= call.weight)
             # Not where its caller will not stay for the answer; one who stays a while may try any server.
             and min(gate.seen(self.now_ms), STAY * self.limit_ms) < call.expires_ms - self.now_ms
@@ -773,7 +777,7 @@
             call.server is not None  # rule 2: never two attempts out
             or call.id not in self.calls  # rule 1: nothing more after the answer
             or self.now_ms < call.ready_ms  # rule 5: the release is awaited
-            or gate.standing is not Standing.ACTIVE  # rule 3: drains are kept, without using the grace
+            or gate.standing is not ServerStatus.ACTIVE  # rule 3: drains are kept, without using the grace
             or not self.in_cold_budget(gate)  # rule 4
         ):
             return False
--- a/capershelf/core/attempt_gate.py
+++ b/capershelf/core/attempt_gate.py
@@ -23,24 +23,24 @@
     def __init__(self, planner: Planner, call: m.Call, attempt: m.Attempt, server: m.ServerState) -> None:
         self._planner, self._call, self._attempt, self._server = planner, call, attempt, server
 
-    def may_begin(self) -> bool:
+    def may_write(self) -> bool:
         """Whether the set-up may be written now."""
         call, attempt, server = self._call, self._attempt, self._server
         now_ms = self._planner.clock.now_ms()
         caller = call.caller
         return (
-            call.state is m.State.OPEN
+            call.state is m.CallState.OPEN
             and call.attempt is attempt
-            and not attempt.over  # no other is out
+            and not attempt.ended  # no other is out
             and now_ms < min(attempt.deadline_ms, call.request.expires_ms)
             and now_ms <= attempt.begin_by_ms  # the cold budget
             and now_ms >= self._planner.rests_until(call, server.id)
-            and not (server.draining or server.gone)
-            and server.started_ms <= attempt.started_ms  # its process is the one that it was meant for
+            and not (server.draining or server.removed)
+            and server.started_ms <= attempt.server_started_ms  # its process is the one that it was meant for
             and not self._planner.has_news()  # which may say that it drains
-            and (caller is None or caller.waits(call.request.id))
+            and (caller is None or caller.is_waiting(call.request.id))
         )
 
-    def dropped(self) -> None:
+    def on_dropped(self) -> None:
         """The set-up was not written, and never will be."""
-        self._planner.inbox.put(m.NotBegun(self._call.request.key, self._attempt))
+        self._planner.inbox.put(m.SetUpDropped(self._call.request.key, self._attempt))
--- a/capershelf/core/call_table.py
+++ b/capershelf/core/call_table.py
@@ -36,7 +36,7 @@
 
     def open(self) -> list[m.Call]:
         """Those whose outcome is owed."""
-        return [call for call in self.by_key.values() if call.state is m.State.OPEN]
+        return [call for call in self.by_key.values() if call.state is m.CallState.OPEN]
 
     def of(self, caller: m.Caller) -> list[m.Call]:
         """Those that this caller hears of."""
@@ -44,30 +44,30 @@
 
     def unheard_of(self, host: str) -> list[m.Call]:
         """Those whose end is to be told to any caller of this host."""
-        return [call for call in self.unheard.values() if call.lost_host == host]
+        return [call for call in self.unheard.values() if call.lost_caller_host == host]
 
     def all_over(self) -> bool:
         """Whether no outcome and no end is owed any more."""
-        return all(call.state is m.State.OVER for call in self.by_key.values())
+        return all(call.state is m.CallState.ENDED for call in self.by_key.values())
 
     def latch(self, call: m.Call) -> bool:
         """Whether the call's one outcome is still to be given; it counts as given from here on."""
-        if call.state is not m.State.OPEN:
+        if call.state is not m.CallState.OPEN:
             return False
-        call.state = m.State.OVER
+        call.state = m.CallState.ENDED
         self.open_count -= 1
         self.given += 1
         return True
 
-    def keep(self, call: m.Call, word: m.Word, timer: m.Cancellable) -> None:
+    def keep(self, call: m.Call, word: m.CallerMessage, timer: m.Cancellable) -> None:
         """Keep a call that is over for a caller out of reach, until the timer forgets it."""
-        call.unheard, call.timer = word, timer
+        call.undelivered, call.expiry_timer = word, timer
         self.by_key[call.request.key] = call
 
     def forget(self, call: m.Call) -> None:
         """Let go of the call and its timer; another of the same key stays."""
-        if call.timer is not None:
-            call.timer.cancel()
+        if call.expiry_timer is not None:
+            call.expiry_timer.cancel()
         if self.by_key.get(call.request.key) is call:
             del self.by_key[call.request.key]
         self.unheard.pop(call.request.key, None)
--- a/capershelf/core/list_gate.py
+++ b/capershelf/core/list_gate.py
@@ -52,7 +52,7 @@
     def _look(self, until_ms: float) -> None:
         now_ms = self._clock.now_ms()
         fresh = self.fresh()
-        # News goes first, always: guards against a round without end between here and holds().
+        # A ServerListUpdate goes first, always: guards against a round without end between here and holds().
         if self._has_news() or not fresh and now_ms < until_ms:
             self._look_later(now_ms, until_ms)
             return
--- a/capershelf/core/model.py
+++ b/capershelf/core/model.py
@@ -1,6 +1,6 @@
-"""What the core deals in: requests for a call, attempts at booking servers, outcomes for callers.
+"""Types of the core: set-up requests, attempts at booking servers, and messages to callers.
 
-A front turns what its wire says into these and back; the core knows no wire.
+A front translates its protocol to and from these types; the core is independent of any protocol.
 """
 
 from __future__ import annotations
@@ -11,25 +11,34 @@
 from enum import Enum
 from typing import Protocol
 
-from capershelf.interface import LearnedServer, ListedServer, Recalled, Report, Result, Settings, Why
+from capershelf.interface import (
+    LearnedServer,
+    ListedServer,
+    LoadReport,
+    RefusalReason,
+    RestoredKnowledge,
+    Result,
+    Settings,
+)
 
-NORMAL = 16  # causes that core and fronts agree on, with the numbers that the field gives them
-FULL = 34
-FAILED = 17
-CUT = 41
-INVALID = 100
+# Release causes used between the core and the fronts, numbered as on the wire.
+CAUSE_NORMAL = 16
+CAUSE_NO_CAPACITY = 34
+CAUSE_FAILED = 17
+CAUSE_INTERRUPTED = 41
+CAUSE_INVALID = 100
 
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
-    """A caller's request; what a booking server is to see of it passes unchanged."""
+    """A caller's set-up request; the description is forwarded to the booking server unchanged."""
 
     id: str
     call_class: str
-    expires_ms: float  # absolute
+    expires_ms: float  # absolute time
     number: str
     description: str
-    far_end: int = -1
+    preferred_pool: int = -1
     width: int = 1
 
     @property
@@ -39,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """Outcome: the call stands, with the booking server's description as it was given."""
+    """Outcome: the call is established; description is the booking server's, unchanged."""
 
     id: str
     description: str
@@ -47,233 +56,249 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Outcome: not now; wait_ms tells the caller how long to stay away (0: not told)."""
+    """Outcome: refused for now; the caller may retry after retry_after_ms (0: no hint)."""
 
     id: str
-    wait_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Outcome: given up for good."""
+    """Outcome: the call has failed for good."""
 
     id: str
-    cause: int = FAILED
+    cause: int = CAUSE_FAILED
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """Not an outcome: a call that stood is over."""
+    """An established call has ended.  Unlike the other messages, this is not the outcome of a set-up."""
 
     id: str
     cause: int
 
 
-Word = Answered | Refused | Failed | Ended
+CallerMessage = Answered | Refused | Failed | Ended
 
 
 class Caller(Protocol):
-    """The way back to whoever asked; a connection owns no call that stands."""
+    """The connection that a set-up came from; established calls do not belong to a connection."""
 
-    outlived: bool  # a call still being set up outlives this connection, for its caller to come back to
+    # True if a pending set-up survives this connection, so that its caller can reconnect for the outcome.
+    calls_outlive_connection: bool
     host: str
 
-    def elsewhere(self) -> Caller | None:
-        """Another open connection of the same caller, where a front takes any of them."""
+    def other_connection(self) -> Caller | None:
+        """Another open connection of the same caller, if the front lets any of them take its messages."""
 
-    def tell(self, word: Word) -> bool:
-        """Pass the word on; False when it can no longer be."""
+    def notify(self, message: CallerMessage) -> bool:
+        """Deliver the message; False if that is no longer possible."""
 
-    def waits(self, call_id: str) -> bool:
-        """Whether somebody still waits for this call's outcome, as far as is known.  Any thread asks."""
+    def is_waiting(self, call_id: str) -> bool:
+        """Whether the caller is still waiting for the call's outcome, as far as known.  Thread-safe."""
 
-    def over(self, call_id: str) -> None:
-        """A call of this caller's has ended here, whatever it is told of it."""
+    def call_ended(self, call_id: str) -> None:
+        """A call of this caller has ended here, whether or not the caller is notified."""
 
 
 class WriteGate(Protocol):
-    """Asked by whichever thread writes a set-up, right before its first byte."""
+    """Consulted by the writing thread immediately before the first byte of a set-up."""
 
-    def may_begin(self) -> bool: ...
+    def may_write(self) -> bool: ...
 
-    def dropped(self) -> None:
-        """It was not written, and never will be."""
+    def on_dropped(self) -> None:
+        """The set-up was not written and never will be."""
 
 
-class Servers(Protocol):
-    """The ways to the booking servers, as one planner has them.  Nothing here waits."""
+class ServerLinks(Protocol):
+    """A planner's links to the booking servers.  No method blocks."""
 
     def open(self, server: str, endpoint: str) -> None: ...
 
     def close(self, server: str) -> None: ...
 
-    def wake(self, server: str) -> str:
-        """Somebody needs this link now: connect at once; the server whose link makes room for it, if one."""
+    def connect(self, server: str) -> str:
+        """Connect at once, because the link is needed now.
+
+        Returns the server whose link is closed to stay within the link limit, or an empty string.
+        """
 
-    def rest(self, server: str) -> None:
-        """Nobody needs this link: close it, and connect no more until it is woken."""
+    def disconnect(self, server: str) -> None:
+        """Close a link that is not needed, and do not reconnect until connect() is called."""
 
-    def set_up(self, server: str, epoch: int, request: SetUp, left_ms: float, gate: WriteGate) -> None: ...
+    def set_up(
+        self, server: str, epoch: int, request: SetUp, remaining_ms: float, gate: WriteGate
+    ) -> None: ...
 
     def withdraw(self, server: str, call_id: str = "") -> set[str]:
-        """Take back set-ups (that call's, or all) of which no byte has been written: their calls' ids.
+        """Remove unwritten set-ups (of one call, or all) from the write queue; returns their call ids.
 
-        One that is half written is broken off with its connection, where a call is named.
+        If a call is named and its set-up is partly written, the connection is closed to abort it.
         """
 
     def release(self, server: str, call_id: str, cause: int) -> None: ...
 
     def probe(self, server: str, epoch: int, token: str) -> None: ...
 
-    def written(self) -> bool:
-        """Whether nothing waits to be written."""
+    def is_flushed(self) -> bool:
+        """Whether all write queues are empty."""
 
 
 class Memory(Protocol):
-    """What keeps a planner's learning over a restart (capershelf/memory/); only its thread calls these."""
+    """Keeps a planner's learned state across restarts (capershelf/memory/).  Planner thread only."""
 
-    def listed(self, news: News, now_ms: float) -> Recalled | None:
-        """What is remembered of the servers that this news names; to reach the module before the news."""
+    def recall(self, update: ServerListUpdate, now_ms: float) -> RestoredKnowledge | None:
+        """Remembered state of the servers in this update; feed it to the controller before the update."""
 
-    def touched(self, server: str) -> None:
-        """Something was learned of this server."""
+    def mark_changed(self, server: str) -> None:
+        """Note that the learned state of this server has changed."""
 
-    def sweep(self, door: Learned, now_ms: float, everything: bool) -> float:
-        """Take a bounded part of what was learned since (or everything); when to come again."""
+    def collect(self, source: LearnedSource, now_ms: float, everything: bool) -> float:
+        """Collect a bounded part of the changed state (or all of it); returns when to call again."""
 
 
 class Subset(Protocol):
-    """Which listed servers a planner has links to (capershelf/subset/); only its thread calls these."""
+    """Selects the listed servers that a planner keeps links to (capershelf/subset/).  Planner thread only."""
 
-    def take_list(
-        self, now_ms: float, servers: Iterable[Located], kept: frozenset[str] | None
+    def update_list(
+        self, now_ms: float, servers: Iterable[LocatedServer], retained: frozenset[str] | None
     ) -> SubsetUpdate:
-        """The list's news; kept as in News with a whole list, None with changes alone."""
+        """Apply a list update; retained as in ServerListUpdate for a complete list, None for changes."""
 
     def review(
         self, now_ms: float, unavailable: Callable[[str], bool], idle: Callable[[str], bool]
     ) -> SubsetUpdate:
-        """Look at the members again."""
+        """Re-evaluate the members of the subset."""
 
 
 class SubsetUpdate(Protocol):
-    """What a subset makes of the list: changes, and whom of these to connect to at once."""
+    """Changes to the subset, and the servers among them to connect to at once."""
 
     @property
-    def servers(self) -> tuple[Located, ...]: ...
+    def servers(self) -> tuple[LocatedServer, ...]: ...
 
     @property
     def urgent(self) -> tuple[str, ...]: ...
 
 
-class Learned(Protocol):
-    """The door by which a controller gives out what it has learned."""
+class LearnedSource(Protocol):
+    """Read access to what a controller has learned."""
 
     def learned(self, server: str) -> LearnedServer | None: ...
 
-    def asked_rate(self) -> float:
-        """First tries a millisecond."""
+    def new_call_rate(self) -> float:
+        """New calls per millisecond, retries excluded."""
 
 
-class State(Enum):
-    """Where a call is in its life here."""
+class CallState(Enum):
+    """State of a call in the call table."""
 
-    OPEN = "open"  # its one outcome is owed
-    STANDS = "stands"
-    OVER = "over"
+    OPEN = "open"  # its outcome is pending
+    ESTABLISHED = "stands"
+    ENDED = "over"
 
 
 class Cancellable(Protocol):
+    """A timer that can be cancelled."""
+
     def cancel(self) -> None: ...
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One sending of a call to a booking server; epoch names the connection it went out on, once it did."""
+    """One transmission of a call to a booking server; epoch is the connection that carried it, once sent."""
 
     number: int
     server: str
     sent_ms: float
     deadline_ms: float
     connect_by_ms: float
-    begin_by_ms: float = math.inf  # later than this it must not begin
-    started_ms: float = -math.inf  # of the server's process that it is meant for
+    begin_by_ms: float = math.inf  # it must not begin later than this
+    server_started_ms: float = -math.inf  # start time of the server process that it is meant for
     epoch: int | None = None
-    over: bool = False
+    ended: bool = False
     timers: list[Cancellable] = field(default_factory=list)
 
     def end(self) -> None:
-        """It has ended, and its time-outs with it."""
-        self.over = True
+        """Mark the attempt as ended and cancel its timers."""
+        self.ended = True
         for timer in self.timers:
             timer.cancel()
 
 
 @dataclass(slots=True)
 class Call:
-    """A call in the table; caller is None while its connection is lost."""
+    """An entry of the call table; caller is None while its connection is lost."""
 
     request: SetUp
     caller: Caller | None
-    lost_host: str = ""  # of a caller whose connection is gone, where any of its connections will do
-    state: State = State.OPEN
+    lost_caller_host: str = ""  # host of a disconnected caller, where any connection from it will do
+    state: CallState = CallState.OPEN
     attempts: int = 0
     attempt: Attempt | None = None
-    not_before_ms: float = -math.inf  # the release of its last attempt is over then
-    ended_at: str = ""  # the server that last ended an attempt itself,
-    ended_ms: float = -math.inf  # and when
-    server: str = ""  # where it stands,
-    stood_ms: float = math.inf  # and since when
-    answer: Word | None = None  # while it stands, for a caller whose connection broke under it
-    unheard: Word | None = None  # what its caller has not been told for want of a connection
-    timer: Cancellable | None = None  # when its time here is over
+    not_before_ms: float = -math.inf  # end of the release gap after its last attempt
+    last_ended_server: str = ""  # the server that last ended an attempt itself
+    last_ended_ms: float = -math.inf  # when it did
+    server: str = ""  # the server where the call is established
+    established_ms: float = math.inf
+    answer: CallerMessage | None = None  # kept while established, for a caller that lost its connection
+    undelivered: CallerMessage | None = None  # not delivered to the caller for lack of a connection
+    expiry_timer: Cancellable | None = None  # fires when the call leaves the table
 
 
 @dataclass(slots=True)
 class ServerState:
-    """A booking server as the planner knows it."""
+    """A planner's state for one booking server."""
 
     id: str
     endpoint: str
-    epoch: int | None = None  # the open connection's number
-    down_ms: float = math.inf  # since when there is none
-    link_failed: bool = False  # its connection broke or did not come up, and none has come up since
-    gone: bool = False
-    draining: bool = False  # listed so: nothing new is written to it
-    started_ms: float = -math.inf  # its process, as the list tells; -inf: it does not say
-    calls: dict[int, Call] = field(default_factory=dict)  # out at it or standing there
-    unsaid: dict[str, int] = field(default_factory=dict)  # releases (cause) that wait for a connection
+    epoch: int | None = None  # number of the open connection
+    disconnected_ms: float = math.inf  # since when there has been no connection
+    link_failed: bool = False  # the connection broke or failed, and none has been established since
+    removed: bool = False
+    draining: bool = False  # listed as draining: no new set-up is written to it
+    started_ms: float = -math.inf  # start of its process according to the list; -inf: unknown
+    calls: dict[int, Call] = field(default_factory=dict)  # with an attempt there, or established there
+    pending_releases: dict[str, int] = field(default_factory=dict)  # causes, until there is a connection
 
 
-# What comes into a planner's inbox.
+# Events in a planner's inbox.
 
 
 @dataclass(frozen=True, slots=True)
-class SetUpCame:
+class SetUpReceived:
+    """A caller has sent a set-up."""
+
     request: SetUp
     caller: Caller
 
 
 @dataclass(frozen=True, slots=True)
 class CallerReleased:
+    """A caller has released a call."""
+
     id: str
     cause: int
     caller: Caller
 
 
 @dataclass(frozen=True, slots=True)
-class CallerCame:
+class CallerConnected:
+    """A caller has opened a connection."""
+
     caller: Caller
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLost:
+class CallerDisconnected:
+    """A caller's connection has closed."""
+
     caller: Caller
 
 
 @dataclass(frozen=True, slots=True)
-class CallerBarred:
-    """The caller is about to be hung up on for what it sent; done is called once its open calls are ended."""
+class CallerRejected:
+    """The caller will be disconnected for invalid input; done is called once its open calls have ended."""
 
     caller: Caller
     done: Callable[[], None]
@@ -281,54 +306,62 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerAnswered:
-    """replaced: it came on a connection that another has taken the place of, and that is heard out."""
+    """A server has accepted a call.
+
+    on_replaced_connection: it arrived on a connection that has been replaced but is still being read.
+    """
 
     server: str
     id: str
     description: str
-    report: Report | None
-    replaced: bool = False
+    report: LoadReport | None
+    on_replaced_connection: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ServerReleased:
+    """A server has released a call."""
+
     server: str
     id: str
     cause: int
-    result: Result  # what the release means for a call still being set up
-    why: Why
-    report: Report | None
-    replaced: bool = False  # as with an answer
+    result: Result  # the attempt's result, if the call is still being set up
+    reason: RefusalReason
+    report: LoadReport | None
+    on_replaced_connection: bool = False  # as in ServerAnswered
 
 
 @dataclass(frozen=True, slots=True)
-class NotBegun:
-    """The set-up of this attempt was dropped where its first byte was to be written."""
+class SetUpDropped:
+    """The set-up of this attempt was dropped right before its first byte was written."""
 
     key: int
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class ServerTold:
-    """A report: unasked where token is empty, else the answer to that probe."""
+class ServerReported:
+    """A load report: unsolicited if token is empty, otherwise the answer to that probe."""
 
     server: str
-    report: Report
+    report: LoadReport
     token: str = ""
     passed: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class LinkUp:
+    """A connection to a server is established."""
+
     server: str
     epoch: int
-    mended: bool = False  # in place of one that was of no further use: the silence on it was not the server's
+    # It replaces a dead connection, so the silence on that one was not the server's.
+    replaces_broken: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class LinkDown:
-    """A connection broke (epoch) or never came up (None); refused proves that nobody listens there."""
+    """A connection broke (epoch) or could not be made (None); refused proves that nothing listens there."""
 
     server: str
     epoch: int | None
@@ -336,37 +369,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Located:
+class LocatedServer:
     """A listed server with its address."""
 
     listed: ListedServer
     endpoint: str
-    zone: str = ""  # empty: not told
-    service: str = ""  # empty: the default one, of all servers for which none is told
+    zone: str = ""  # empty: unknown
+    service: str = ""  # empty: the default service, shared by all servers that name none
 
 
 @dataclass(frozen=True, slots=True)
-class News:
-    """What a registry tells; whole: what is not in it is gone."""
+class ServerListUpdate:
+    """An update from a registry; if complete, servers that it does not name have been removed."""
 
     version: int
-    whole: bool
-    servers: tuple[Located, ...]
-    vouches: bool = False  # its source shows every late start: one that shows none has not started since
-    kept: frozenset[str] = frozenset()  # named in it and not to be read: these stay as they were
+    complete: bool
+    servers: tuple[LocatedServer, ...]
+    # The source reports every recent start: a server listed without one has not started recently.
+    reports_all_starts: bool = False
+    retained: frozenset[str] = frozenset()  # servers whose entries were unreadable; they stay unchanged
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Answer what is owed, at the latest by answer_ms, then end, at the latest by by_ms."""
+    """Answer all pending calls by answer_by_ms, then stop by end_by_ms."""
 
-    by_ms: float
-    answer_ms: float = math.inf
+    end_by_ms: float
+    answer_by_ms: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
-class TakeOver:
-    """Go by these settings from here on; done is called once they are in force."""
+class ApplySettings:
+    """Switch to these settings; done is called once they are in effect."""
 
     settings: Settings
     connect_ms: float
@@ -374,34 +408,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskOpen:
+class QueryOpenClasses:
     """Calls back with the names of the classes that have open calls."""
 
-    back: Callable[[set[str]], None]
+    callback: Callable[[set[str]], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Reached:
-    """Calls back once all that was put in before it has been dealt with."""
+class InboxBarrier:
+    """Calls back once every event queued before it has been handled."""
 
-    back: Callable[[], None]
+    callback: Callable[[], None]
 
 
 Event = (
-    SetUpCame
+    SetUpReceived
     | CallerReleased
-    | CallerCame
-    | CallerLost
-    | CallerBarred
+    | CallerConnected
+    | CallerDisconnected
+    | CallerRejected
     | ServerAnswered
     | ServerReleased
-    | NotBegun
-    | ServerTold
+    | SetUpDropped
+    | ServerReported
     | LinkUp
     | LinkDown
-    | News
+    | ServerListUpdate
     | Stop
-    | TakeOver
-    | AskOpen
-    | Reached
+    | ApplySettings
+    | QueryOpenClasses
+    | InboxBarrier
 )
--- a/capershelf/fronts/session.py
+++ b/capershelf/fronts/session.py
@@ -110,7 +110,7 @@
                 del self._askers[call_id]
             last = self.closed and not self.owed
         if last:  # a planner that stops may be waiting for it
-            self.every(m.Reached(lambda: None))
+            self.every(m.InboxBarrier(lambda: None))
 
     def close(self) -> None:
         """Take nothing more: what still comes is refused at once."""
@@ -125,7 +125,7 @@
 
     def __init__(self, sock: socket.socket, framing: Framing, name: str, house: House) -> None:
         self.name = name
-        self.outlived = house.outlived
+        self.calls_outlive_connection = house.outlived
         self.host = name.rpartition(":")[0]
         self._house, self._clock = house, house.clock
         self._lock = threading.Lock()  # over all that follows
@@ -152,15 +152,15 @@
         )
 
     # -- what the planners see ------------------------------------------------------------------------
-    def elsewhere(self) -> m.Caller | None:
-        return None if self.outlived else self._house.peer_of(self)
+    def other_connection(self) -> m.Caller | None:
+        return None if self.calls_outlive_connection else self._house.peer_of(self)
 
-    def waits(self, call_id: str) -> bool:
+    def is_waiting(self, call_id: str) -> bool:
         """Guards booking servers from set-ups for callers that have left, before a planner hears of it."""
         with self._lock:
             if call_id in self._given_up:
                 return False
-            if self.outlived:
+            if self.calls_outlive_connection:
                 return True
             gone = self._gone
         return not gone and not self.connection.hung_up()
@@ -171,7 +171,7 @@
             if call_id in self._open:
                 self._given_up.add(call_id)
 
-    def tell(self, word: m.Word) -> bool:
+    def notify(self, word: m.CallerMessage) -> bool:
         with self._lock:
             if isinstance(word, m.Answered) and self._leaving:
                 return False  # guards against a call that stands for nobody
@@ -185,7 +185,7 @@
                 self._credit += EARNED
         return self.connection.post(vocabulary.word_bytes(word))
 
-    def over(self, call_id: str) -> None:
+    def call_ended(self, call_id: str) -> None:
         """A call of this caller's is over, whatever it is told of it."""
         with self._lock:
             if call_id not in self._open:  # a call that stood was ended, wherever it was set up
@@ -229,7 +229,7 @@
             for call_id in list(self._open):
                 self._end(call_id)
         if concerned:
-            self._house.every(m.CallerLost(self))
+            self._house.every(m.CallerDisconnected(self))
 
     def _due(self, half_ms: float) -> float:
         if half_ms < math.inf:
@@ -249,10 +249,10 @@
             self._leaving, owed = True, bool(self._open)
         if owed:
             done: Inbox[bool] = Inbox(self._clock)
-            for _ in range(self._house.every(m.CallerBarred(self, lambda: done.put(True)))):
+            for _ in range(self._house.every(m.CallerRejected(self, lambda: done.put(True)))):
                 done.take(now_ms + BARRED_MS)
         why = {"reason": reason[:100]}
-        return self.connection.post(vocabulary.encode("release", "", m.INVALID, fields=why))
+        return self.connection.post(vocabulary.encode("release", "", m.CAUSE_INVALID, fields=why))
 
     def _message(self, line: bytes) -> None:
         now_ms = self._clock.now_ms()
@@ -265,7 +265,7 @@
             self._credit_ms = now_ms
             spent = self._credit < 0.0
         if came:  # with its first message: a connection that says nothing costs the planners nothing
-            self._house.every(m.CallerCame(self))
+            self._house.every(m.CallerConnected(self))
         if spent:
             raise OverError("too many messages to no effect", foul=True)
         try:
@@ -283,7 +283,7 @@
             with self._lock:
                 self._strikes += 1
                 out = self._strikes > STRIKES
-            self.tell(m.Failed(problem.id, m.INVALID))
+            self.notify(m.Failed(problem.id, m.CAUSE_INVALID))
             if out:
                 raise OverError("too many set-ups that can't be used", foul=True) from problem
         except vocabulary.UnreadableError as problem:
@@ -331,6 +331,6 @@
             if taken:
                 self._open[named] = size
         if not taken:
-            self.tell(m.Refused(named, self._house.terms.wait_ms))
+            self.notify(m.Refused(named, self._house.terms.wait_ms))
         else:
-            self._house.route(named)(m.SetUpCame(request, self))
+            self._house.route(named)(m.SetUpReceived(request, self))
--- a/capershelf/interface.py
+++ b/capershelf/interface.py
@@ -1,7 +1,8 @@
-"""Types between a host (a gateway, or the bench's adapter) and the controller.
+"""Events and actions exchanged between the controller (the decision module) and its host.
 
-Times are milliseconds on the host's clock, which only goes forward.  A call is one set-up asked for by a
-caller; an attempt is one sending of it to a core switch (server).  Nothing here decides anything.
+The host is a gateway or the simulator's adapter.  Times are milliseconds on the host's monotonic clock.  A
+call is one set-up requested by a caller; an attempt is one transmission of that set-up to a booking server
+(a core switch).  This module defines types only and contains no decision logic.
 """
 
 from __future__ import annotations
@@ -13,28 +14,28 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """One class of calls, as the deployment's settings give it."""
+    """A class of calls as configured for the deployment."""
 
     name: str
-    aim_ms: float
+    aim_ms: float  # target set-up latency
     deadline_ms: float
-    worth: float = 1.0
-    late_worth: float = 0.0
-    places: frozenset[int] | None = None  # places whose servers may take it; None: any
+    worth: float = 1.0  # relative value of a call, for load shedding
+    late_worth: float = 0.0  # factor applied to worth after aim_ms
+    pools: frozenset[int] | None = None  # server pools that may take the class; None: all
     width: int = 1
-    hold_ms: float | None = None  # mean length of a call
+    hold_ms: float | None = None  # mean call duration
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer and the rate that is in its share, over all gateways."""
+    """A customer and its quota in calls per second, summed over all gateways."""
 
     name: str
     quota_per_s: float
 
 
-class Reports(Enum):
-    """How servers tell of their processors."""
+class LoadReportSource(Enum):
+    """How servers report their processor load."""
 
     NONE = "none"
     ANSWERS = "answers"
@@ -43,40 +44,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a controller is told at start."""
+    """Configuration of a controller."""
 
     gateway_no: int
     gateway_count: int
     classes: tuple[CallClass, ...]
-    cold_from: float  # share of its capacity that a server just started has at least
-    ramp_ms: float  # and after this it is warm
-    fall_multiple: float  # sent more than this multiple of what it can do at that moment
-    fall_ms: float  # for this long, a cold server falls over
-    release_ms: float  # from the end of an attempt that may have run to the next one
+    cold_from: float  # lower bound on a newly started server's share of its full capacity
+    ramp_ms: float  # time from a server's start until it has its full capacity
+    # A cold server collapses when it receives more than fall_multiple times its current capacity for fall_ms.
+    fall_multiple: float
+    fall_ms: float
+    release_ms: float  # minimum gap between the end of an attempt that may have run and the next attempt
     drain_grace_ms: float = 0.0
     answer_slack_ms: float = 0.0
-    tick_ms: float = 0.0  # the host hands events over at most this often
+    tick_ms: float = 0.0  # shortest interval at which the host delivers events
     max_attempts: int = 2
-    resend_ms: float = 0.0  # a set-up that waits this long is sent again by the network; 0: never
+    resend_ms: float = 0.0  # the network retransmits a queued set-up after this time; 0: never
     tenants: tuple[Tenant, ...] = ()
-    over_quota_worth: float = 1.0
+    over_quota_worth: float = 1.0  # factor applied to worth for a tenant over its quota
     may_cancel: bool = False
     may_probe: bool = False
-    retry_after_max_ms: float = 0.0  # longest stay-away advice that callers follow; 0: none is passed on
-    reports: Reports = Reports.NONE
-    states_wait: bool = False
+    max_retry_after_ms: float = 0.0  # longest retry-after that callers follow; 0: they are given none
+    load_report_source: LoadReportSource = LoadReportSource.NONE
+    reports_wait: bool = False
 
 
-class Standing(Enum):
-    """A server's state in the list."""
+class ServerStatus(Enum):
+    """Status of a server in the server list."""
 
     ACTIVE = "active"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class Result(Enum):
-    """How an attempt or a probe ended."""
+    """Result of an attempt or a probe."""
 
     OK = "ok"
     ERROR = "error"
@@ -88,77 +90,78 @@
     NOT_SENT = "not_sent"
 
 
-class Why(Enum):
-    """What a server says of a set-up that it did not take."""
+class RefusalReason(Enum):
+    """The reason that a server gives for refusing a set-up."""
 
-    UNSAID = 0
+    UNSPECIFIED = 0
     NO_LINE = 1
     PROCESSOR_FULL = 3
     NUMBER_BUSY = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """A server's figures; None where a figure was not given."""
+class LoadReport:
+    """Load figures reported by a server; None where a figure is missing."""
 
     free_lines: float | None = None
     lines: float | None = None
     wait_ms: float | None = None
-    takes_per_s: float | None = None  # new set-ups a second that it can take from all senders together
+    allowed_per_s: float | None = None  # new set-ups per second that it accepts from all senders together
 
     @classmethod
-    def of(cls, figures: dict[str, float]) -> Report:
-        """From the figures by their names on the wires; names that are unknown are passed over."""
+    def from_fields(cls, figures: dict[str, float]) -> LoadReport:
+        """Build a report from figures keyed by their protocol names; unknown names are ignored."""
         return cls(*map(figures.get, ("spare", "total", "recent_ms", "allowed")))
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedServer:
-    """What a controller has learned of one booking server; it gives this out and can start from it.
+    """What a controller has learned about one booking server; exported, and restored at the next start.
 
-    Rates and thresholds are those of one sender: its part of what the server does.  Left out on purpose is
-    whatever the next start is told anyway (lines, free lines), what is over in seconds (averages, set-ups
-    that are out) and what would let old knowledge into the cold budget (the best rate of all servers).
+    Rates and thresholds cover only this sender's share of the server's traffic.  Three kinds of state are
+    left out on purpose: what the next start receives anyway (lines, free lines), what is stale within seconds
+    (averages, outstanding set-ups), and what would let old data into the cold budget (the best rate over all
+    servers).
     """
 
     server: str
-    rate_per_s: float = 0.0  # answers with success in the module's pace window
-    wait_ms: float = 0.0  # at its processor, as last seen
-    base_ms: float | None = None  # least answer time seen: the way there and back and an idle processor
-    threshold: float | None = None  # outstanding weight over which the detector flags it; None: unlimited
-    silent: bool = False  # taken out for its silence or its errors
+    rate_per_s: float = 0.0  # successful answers per second, over the controller's pacing window
+    wait_ms: float = 0.0  # last known queueing delay at the server's processor
+    base_latency_ms: float | None = None  # lowest answer time seen: round trip plus an idle processor
+    threshold: float | None = None  # outstanding weight above which the detector flags it; None: unlimited
+    ejected: bool = False  # taken out of use because it was silent or returned errors
 
 
-# Events: what the host tells.
+# Events, from the host to the controller.
 
 
 @dataclass(frozen=True, slots=True)
-class Recalled:
-    """What is remembered from before this start, already aged and judged by the host (capershelf/memory/).
+class RestoredKnowledge:
+    """State learned before this start, already aged and validated by the host (capershelf/memory/).
 
-    It must come before the list that names its servers: a server known already keeps what was learned since.
+    It must precede the list that names its servers: a server that is already known keeps its newer state.
     """
 
-    asked_per_s: float
+    new_calls_per_s: float
     servers: tuple[LearnedServer, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class NewCall:
-    """A call set-up that this gateway now owes one final answer, before expires_ms."""
+    """A new call; this gateway must give it exactly one final answer before expires_ms."""
 
     call: int
     expires_ms: float
     call_class: str
-    far_end: int  # place of first choice
+    preferred_pool: int
     number: str = ""
     tenant: str | None = None
     width: int = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Stands:
-    """The attempt was answered with success; that is the call's final answer."""
+class AttemptSucceeded:
+    """The attempt was answered with success, which is the call's final answer."""
 
     call: int
     attempt: int
@@ -167,94 +170,94 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptOver:
+class AttemptEnded:
     """An attempt, or the call that it set up, has ended."""
 
     call: int
     attempt: int
     server: str
     result: Result
-    settled: bool  # nothing is owed for the call any more
-    why: Why = Why.UNSAID
-    stated_wait_ms: float | None = None
-    report: Report | None = None
+    call_finished: bool  # the call needs no further answer
+    reason: RefusalReason = RefusalReason.UNSPECIFIED
+    reported_wait_ms: float | None = None
+    report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
-    """The caller has left; nothing is owed."""
+class CallAbandoned:
+    """The caller has gone; the call needs no answer."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A server as the pool list has it."""
+    """An entry of the server list."""
 
     server: str
-    place: int
-    standing: Standing
-    started_ms: float | None = None  # None: long ago
-    # The part of all senders that may send to it while it is cold; 0: this one may not.
+    pool: int
+    status: ServerStatus
+    started_ms: float | None = None  # start of its process; None: long ago
+    # Share of all senders that may send to it while it is cold; 0: this sender may not.
     sender_share: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """News from the pool list; whole: what is not in it is gone."""
+    """An update of the server list; if complete, servers that it does not name have been removed."""
 
     version: int
-    whole: bool
+    complete: bool
     servers: tuple[ListedServer, ...]
-    restored: bool = False  # the list as it was before a restart, perhaps out of date
+    restored: bool = False  # the list from before a restart, possibly out of date
 
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """A probe's end, or free lines told unasked (probe False)."""
+    """The result of a probe, or (with probe False) an unsolicited load report."""
 
     server: str
     result: Result
-    report: Report
+    report: LoadReport
     probe: bool
 
 
 @dataclass(frozen=True, slots=True)
-class WayMended:
-    """A connection of no further use was replaced by one that works: the silence was the connection's."""
+class ConnectionReplaced:
+    """A dead connection was replaced by a working one: the connection was silent, not the server."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
-class NewSettings:
-    """Settings that hold from here on; gateway_no and gateway_count are as they were."""
+class SettingsChanged:
+    """New settings, effective immediately; gateway_no and gateway_count are unchanged."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the controller asked for."""
+    """A timer set with SetTimer has fired."""
 
     name: str
 
 
 Event = (
     NewCall
-    | Stands
-    | AttemptOver
-    | CallerGone
+    | AttemptSucceeded
+    | AttemptEnded
+    | CallAbandoned
     | ServerList
     | ServerReport
-    | WayMended
-    | Recalled
-    | NewSettings
+    | ConnectionReplaced
+    | RestoredKnowledge
+    | SettingsChanged
     | TimerFired
 )
 
 
-# Actions: what the host must do, in order.
+# Actions, from the controller to the host, which carries them out in order.
 
 
 @dataclass(frozen=True, slots=True)
@@ -264,27 +267,27 @@
     call: int
     server: str
     timeout_ms: float
-    begin_by_ms: float = math.inf  # if it can't begin by then, it ends as NOT_SENT
+    begin_by_ms: float = math.inf  # an attempt that cannot begin by then ends as NOT_SENT
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: turned away; stay_away_ms is advice for the caller (0: none)."""
+    """Final answer: the call is refused; retry_after_ms is a hint for the caller (0: none)."""
 
     call: int
-    stay_away_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: given up."""
+    """Final answer: the call has failed."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Call off an attempt that is out; its AttemptOver still comes."""
+    """Cancel an outstanding attempt; its AttemptEnded event still follows."""
 
     call: int
     attempt: int
@@ -292,14 +295,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask the server for its report."""
+    """Request a load report from the server."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Fire a timer of this name after delay_ms."""
+    """Start a timer with this name that fires after delay_ms."""
 
     delay_ms: float
     name: str
@@ -307,7 +310,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators' log; server: the one it is about."""
+    """A line for the operators' log; server is the server concerned, if any."""
 
     text: str
     server: str = ""
--- a/capershelf/memory/ageing.py
+++ b/capershelf/memory/ageing.py
@@ -109,4 +109,4 @@
 
 def way_only(known: LearnedServer) -> LearnedServer:
     """What is left where nothing proves that it is the same process: the way there, which is no process's."""
-    return replace(known, rate_per_s=0.0, wait_ms=0.0, threshold=None, silent=False)
+    return replace(known, rate_per_s=0.0, wait_ms=0.0, threshold=None, ejected=False)
--- a/capershelf/memory/keeper.py
+++ b/capershelf/memory/keeper.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from capershelf.core import model as m
-from capershelf.interface import LearnedServer, Recalled, Standing
+from capershelf.interface import LearnedServer, RestoredKnowledge, ServerStatus
 from capershelf.memory.ageing import Clocks, HalfLives, age_asked, age_server, part_of, way_only, weight
 from capershelf.memory.records import Book, ServerRecord
 from capershelf.memory.schedule import large_change
@@ -59,7 +59,7 @@
         self._recalled = {record.uid: record for record in book.servers} if book is not None else {}
         self._first = True
         self.servers: Map[str, ServerRecord] = Map()
-        self._listed: dict[str, tuple[m.Located, bool]] = {}  # in service now, and whether vouched for
+        self._listed: dict[str, tuple[m.LocatedServer, bool]] = {}  # in service now, and whether vouched for
         self._touched: dict[str, None] = {}  # in the order of touching
         self._large = self._new = False
         self._last: Snapshot | None = None
@@ -68,7 +68,7 @@
         self._ending = False
 
     # -- reading --------------------------------------------------------------------------------------
-    def listed(self, news: m.News, now_ms: float) -> Recalled | None:
+    def recall(self, news: m.ServerListUpdate, now_ms: float) -> RestoredKnowledge | None:
         self._follow(news, now_ms)
         if self._book is None or not self._recalled and not self._first:
             return None
@@ -104,10 +104,10 @@
         # The module goes by the newest figure it is told and lets it fade: a server that is listed a little
         # later must neither wipe out what callers ask here nor make it new.
         asked = self._asked_before * math.exp((self._began_ms - now_ms) / RATE_MS)
-        return Recalled(asked, tuple(known)) if known or asked else None
+        return RestoredKnowledge(asked, tuple(known)) if known or asked else None
 
     def _carried(
-        self, old: ServerRecord, aged: LearnedServer, located: m.Located, vouched: bool, now_ms: float
+        self, old: ServerRecord, aged: LearnedServer, located: m.LocatedServer, vouched: bool, now_ms: float
     ) -> ServerRecord:
         """What goes on in the next book until it is learned anew, with its own age, not as if it were new."""
         clocks = Clocks(self._book.saved_ms if self._book else now_ms, now_ms)
@@ -122,21 +122,21 @@
             wait_ms=aged.wait_ms,
             base_ms=old.base_ms,
             threshold=aged.threshold,
-            silent=aged.silent,
+            silent=aged.ejected,
         )
 
-    def _follow(self, news: m.News, now_ms: float) -> None:
+    def _follow(self, news: m.ServerListUpdate, now_ms: float) -> None:
         """Who is in service.  What drains, goes or starts again leaves nothing, to itself or a successor."""
-        if news.whole:
+        if news.complete:
             for uid in set(self._listed) - {located.listed.server for located in news.servers}:
                 self._drop(uid)
         for located in news.servers:
             uid = located.listed.server
-            if located.listed.standing is not Standing.ACTIVE:
+            if located.listed.status is not ServerStatus.ACTIVE:
                 self._drop(uid)
                 continue
             was = self._listed.get(uid)
-            self._listed[uid] = located, news.vouches
+            self._listed[uid] = located, news.reports_all_starts
             if was is not None and (
                 was[0].endpoint != located.endpoint or was[0].listed.started_ms != located.listed.started_ms
             ):
@@ -160,10 +160,10 @@
         self.servers = self.servers.set(record.uid, record)
 
     # -- learning -------------------------------------------------------------------------------------
-    def touched(self, server: str) -> None:
+    def mark_changed(self, server: str) -> None:
         self._touched[server] = None
 
-    def sweep(self, door: m.Learned, now_ms: float, everything: bool) -> float:
+    def collect(self, door: m.LearnedSource, now_ms: float, everything: bool) -> float:
         left = len(self._touched) if everything else A_SWEEP
         while self._touched and left > 0:
             left -= 1
@@ -177,7 +177,7 @@
         if (last is None or last.taken or everything) and soon and self._new:
             # An end is handed over even where the one before still waits: there is no next time.
             if not self._ending:  # what callers ask of a proxy that no longer accepts them says nothing
-                self._asked_per_s = 1000.0 * door.asked_rate()
+                self._asked_per_s = 1000.0 * door.new_call_rate()
             self._ending |= everything
             self._last = Snapshot(
                 self._terms.planner, self.servers, self._asked_per_s, now_ms, self._large or everything
@@ -203,7 +203,7 @@
             rate_per_s=rate,
             rate_ms=rate_ms,
             wait_ms=known.wait_ms,
-            base_ms=known.base_ms,
+            base_ms=known.base_latency_ms,
             threshold=known.threshold,
-            silent=known.silent,
+            silent=known.ejected,
         )
--- a/capershelf/memory/records.py
+++ b/capershelf/memory/records.py
@@ -16,7 +16,7 @@
     uid: str
     endpoint: str
     started_ms: float | None  # as its registry gave it; None: long ago
-    vouched: bool  # the registry shows every late start (core.model.News)
+    vouched: bool  # the registry shows every late start (core.model.ServerListUpdate)
     seen_ms: float  # the last thing learned of it
     rate_per_s: float  # best rate of answers with success,
     rate_ms: float  # and when it was reached
--- a/capershelf/memory/trust.py
+++ b/capershelf/memory/trust.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from capershelf.core.model import Located, News
-from capershelf.interface import Standing
+from capershelf.core.model import LocatedServer, ServerListUpdate
+from capershelf.interface import ServerStatus
 from capershelf.memory.records import ServerRecord
 
 
@@ -41,10 +41,10 @@
     verdict: Verdict
 
 
-def judge(record: ServerRecord, located: Located, vouches: bool, shared: bool) -> Verdict:
+def judge(record: ServerRecord, located: LocatedServer, vouches: bool, shared: bool) -> Verdict:
     """What of the record may be used for the server that is listed now."""
     listed = located.listed
-    if listed.standing is not Standing.ACTIVE:
+    if listed.status is not ServerStatus.ACTIVE:
         return Verdict.LEAVING
     if located.endpoint != record.endpoint:
         return Verdict.MOVED
@@ -60,13 +60,13 @@
     return Verdict.SAME if now <= record.seen_ms else Verdict.IMPOSSIBLE
 
 
-def judge_list(records: dict[str, ServerRecord], news: News) -> list[Judged]:
+def judge_list(records: dict[str, ServerRecord], news: ServerListUpdate) -> list[Judged]:
     """All servers that the news names and a record knows."""
     places = Counter(
-        located.endpoint for located in news.servers if located.listed.standing is Standing.ACTIVE
+        located.endpoint for located in news.servers if located.listed.status is ServerStatus.ACTIVE
     )
     return [
-        Judged(record, judge(record, located, news.vouches, places[located.endpoint] > 1))
+        Judged(record, judge(record, located, news.reports_all_starts, places[located.endpoint] > 1))
         for located in news.servers
         if (record := records.get(located.listed.server)) is not None
     ]
--- a/capershelf/net/connection.py
+++ b/capershelf/net/connection.py
@@ -170,8 +170,8 @@
                 return False
             begun = False
             if not self._outbox:
-                if gate is not None and not gate.may_begin():
-                    gate.dropped()
+                if gate is not None and not gate.may_write():
+                    gate.on_dropped()
                     return True
                 try:
                     sent = self._sock.send(data, socket.MSG_DONTWAIT)
@@ -255,10 +255,10 @@
                         self._last_written()
                     return
                 data, tag, gate = self._outbox[0]
-                if gate is not None and not self._begun and not gate.may_begin():
+                if gate is not None and not self._begun and not gate.may_write():
                     self._outbox.popleft()
                     self._queued -= len(data)
-                    gate.dropped()
+                    gate.on_dropped()
                     continue
                 try:
                     sent = self._sock.send(data, socket.MSG_DONTWAIT)
--- a/capershelf/net/links.py
+++ b/capershelf/net/links.py
@@ -500,7 +500,7 @@
         except vocabulary.UnreadableError as problem:
             # What follows on this connection can't be trusted either: its calls get their ends by the reset.
             raise OverError(f"a message that can't be read: {problem}", foul=True) from problem
-        if present and isinstance(event, m.ServerTold) and not event.token:
+        if present and isinstance(event, m.ServerReported) and not event.token:
             self._pulse(now_ms)
         if event is not None:
             self._post(event)
@@ -564,7 +564,7 @@
         if (link := self._links.pop(server, None)) is not None:
             link.end()
 
-    def wake(self, server: str) -> str:
+    def connect(self, server: str) -> str:
         if (link := self._use(server)) is None:
             return ""
         rested = ""
@@ -573,19 +573,21 @@
                 rested = next((one for one in self._awake if self._idle(one)), "")
                 if not rested:
                     return ""  # all have calls on them: this attempt ends as one without a connection
-                self.rest(rested)
+                self.disconnect(rested)
             self._awake[server] = None
         link.wake()
         return rested
 
-    def rest(self, server: str) -> None:
+    def disconnect(self, server: str) -> None:
         if server in self._awake:
             del self._awake[server]
             self._links[server].rest()
 
-    def set_up(self, server: str, epoch: int, request: m.SetUp, left_ms: float, gate: m.WriteGate) -> None:
+    def set_up(
+        self, server: str, epoch: int, request: m.SetUp, remaining_ms: float, gate: m.WriteGate
+    ) -> None:
         if (link := self._use(server)) is not None:
-            link.send(vocabulary.set_up_bytes(request, left_ms), epoch, request.id, gate)
+            link.send(vocabulary.set_up_bytes(request, remaining_ms), epoch, request.id, gate)
 
     def withdraw(self, server: str, call_id: str = "") -> set[str]:
         return link.withdraw(call_id) if (link := self._links.get(server)) is not None else set()
@@ -598,6 +600,6 @@
         if (link := self._links.get(server)) is not None:
             link.send(vocabulary.encode("ping", token, 1), epoch)
 
-    def written(self) -> bool:
+    def is_flushed(self) -> bool:
         """Whether nothing waits to be written to any server."""
         return all(link.written() for link in self._links.values())
--- a/capershelf/net/vocabulary.py
+++ b/capershelf/net/vocabulary.py
@@ -21,7 +21,11 @@
 KEY_LENGTH = 64  # of the number called, at the most
 REFUSED_MS = 1000.0
 DEPTH = 16  # of brackets within each other; more is not of this protocol
-WHYS = {"atb": api.Why.NO_LINE, "acc": api.Why.PROCESSOR_FULL, "sub": api.Why.NUMBER_BUSY}
+WHYS = {
+    "atb": api.RefusalReason.NO_LINE,
+    "acc": api.RefusalReason.PROCESSOR_FULL,
+    "sub": api.RefusalReason.NUMBER_BUSY,
+}
 RESULTS = {
     34: api.Result.FULL,
     17: api.Result.ERROR,
@@ -56,12 +60,12 @@
     def of(cls, settings: api.Settings) -> Terms:
         places: set[int] | None = set()
         for kind in settings.classes:
-            places = places | set(kind.places) if places is not None and kind.places is not None else None
+            places = places | set(kind.pools) if places is not None and kind.pools is not None else None
         return cls(
             {kind.name: kind.deadline_ms for kind in settings.classes},
             frozenset(kind.width for kind in settings.classes),
             frozenset(places) if places is not None else None,
-            min(REFUSED_MS, settings.retry_after_max_ms),
+            min(REFUSED_MS, settings.max_retry_after_ms),
         )
 
 
@@ -141,7 +145,7 @@
 
 
 def cause_of(message: dict[str, Any], named: str) -> int:
-    return int(number_of(message.get("cause", m.NORMAL), "cause", named))
+    return int(number_of(message.get("cause", m.CAUSE_NORMAL), "cause", named))
 
 
 def pairs_of(text: str) -> dict[str, str]:
@@ -208,7 +212,7 @@
     return request
 
 
-def report_of(fields: dict[str, str | int | float], named: str) -> api.Report | None:
+def report_of(fields: dict[str, str | int | float], named: str) -> api.LoadReport | None:
     """The load report among the fields, if there is one."""
     load = fields.get("load")
     if not isinstance(load, str) or not load:
@@ -218,7 +222,7 @@
         number = number_of(value, f"load figure {name!r}", named)
         if number >= 0:
             found[name] = number
-    return api.Report.of(found)
+    return api.LoadReport.from_fields(found)
 
 
 def server_event(server: str, message: dict[str, Any], replaced: bool = False) -> m.Event | None:
@@ -228,31 +232,31 @@
         return None
     if kind == "state":
         report = report_of(fields_of(message, ""), "")
-        return m.ServerTold(server, report) if report is not None else None
+        return m.ServerReported(server, report) if report is not None else None
     named = call_id(message)
     fields = fields_of(message, named)
     report = report_of(fields, named)
     if kind == "pong":
-        return m.ServerTold(server, report or api.Report(), named, cause_of(message, named) != 0)
+        return m.ServerReported(server, report or api.LoadReport(), named, cause_of(message, named) != 0)
     if kind == "answer":
         return m.ServerAnswered(server, named, description_of(message, named), report, replaced)
     if kind == "release":
         cause = cause_of(message, named)
         result = RESULTS.get(cause, api.Result.ERROR)
-        why = WHYS.get(str(fields.get("note", "")), api.Why.UNSAID)
+        why = WHYS.get(str(fields.get("note", "")), api.RefusalReason.UNSPECIFIED)
         return m.ServerReleased(server, named, cause, result, why, report, replaced)
     raise UnreadableError(f"unknown type {kind!r}", named)
 
 
-def word_bytes(word: m.Word) -> bytes:
+def word_bytes(word: m.CallerMessage) -> bytes:
     """An outcome, or a call's end, as callers are told it."""
     match word:
         case m.Answered(named, description):
             return encode("answer", named, sdp=description)
         case m.Refused(named, wait_ms) if wait_ms > 0:
-            return encode("release", named, m.FULL, fields={"wait": f"{math.ceil(wait_ms)}"})
+            return encode("release", named, m.CAUSE_NO_CAPACITY, fields={"wait": f"{math.ceil(wait_ms)}"})
         case m.Refused(named, _):
-            return encode("release", named, m.FULL)
+            return encode("release", named, m.CAUSE_NO_CAPACITY)
         case m.Failed(named, cause) | m.Ended(named, cause):
             return encode("release", named, cause)
 
--- a/capershelf/node.py
+++ b/capershelf/node.py
@@ -103,9 +103,9 @@
     """Where calls of any class may go from here; None: anywhere."""
     places: set[int] = set()
     for kind in settings.classes:
-        if kind.places is None:
+        if kind.pools is None:
             return None
-        places |= set(kind.places)
+        places |= set(kind.pools)
     return frozenset(places)
 
 
@@ -197,7 +197,7 @@
 
         return post
 
-    def _news(self, news: m.News) -> None:
+    def _news(self, news: m.ServerListUpdate) -> None:
         """Pass news of the list on, numbered here: no source's numbers that go back can stop the list."""
         self._versions += 1
         news = dataclasses.replace(news, version=self._versions)
@@ -240,7 +240,7 @@
             house.terms = Terms.of(config.settings)
         for number, planner in enumerate(self.planners):
             settings = planner_settings(config.settings, number, len(self.planners))
-            planner.inbox.put(m.TakeOver(settings, config.connect_ms, done))
+            planner.inbox.put(m.ApplySettings(settings, config.connect_ms, done))
         self.config = dataclasses.replace(
             self.config, settings=config.settings, connect_ms=config.connect_ms, table=config.table
         )
@@ -249,7 +249,7 @@
 
     def ask_open(self, back: Callable[[set[str]], None]) -> int:
         """Have each planner call back with the classes that have open calls; how many planners there are."""
-        return self._every(m.AskOpen(back))
+        return self._every(m.QueryOpenClasses(back))
 
     def outcomes(self) -> tuple[int, int]:
         """(given, refused or failed) since the start."""
@@ -315,6 +315,6 @@
         by_ms = self.clock.now_ms() + WRITTEN_MS
         for front in self.fronts:
             front.close_all(by_ms)
-        while self.clock.now_ms() < by_ms and not all(one.servers.written() for one in self.planners):
+        while self.clock.now_ms() < by_ms and not all(one.servers.is_flushed() for one in self.planners):
             time.sleep(LOOK_S)
         logger.info("{proxy} has answered all it took", event="stopped", proxy=self.config.name)
--- a/capershelf/registry/board.py
+++ b/capershelf/registry/board.py
@@ -9,7 +9,7 @@
 
 from capershelf import interface as api
 from capershelf.core.clock import Clock, Inbox
-from capershelf.core.model import Located, News
+from capershelf.core.model import LocatedServer, ServerListUpdate
 from capershelf.net.addresses import parse_endpoint
 from capershelf.net.http import HttpClient
 from capershelf.registry.source import Tell
@@ -26,11 +26,15 @@
 BACK = 3  # answers in a row that number back: the board has begun anew, and so does this side
 NAME_LENGTH = 64  # of a zone or service, at the most
 WS = "ws://"
-STATES = {"up": api.Standing.ACTIVE, "draining": api.Standing.DRAINING, "removed": api.Standing.GONE}
-SHUT = {api.Standing.ACTIVE: 0, api.Standing.DRAINING: 1, api.Standing.GONE: 2}
+STATES = {
+    "up": api.ServerStatus.ACTIVE,
+    "draining": api.ServerStatus.DRAINING,
+    "removed": api.ServerStatus.REMOVED,
+}
+SHUT = {api.ServerStatus.ACTIVE: 0, api.ServerStatus.DRAINING: 1, api.ServerStatus.REMOVED: 2}
 
 
-def read_notices(found: Any, after: int, vouches: bool = False) -> tuple[int, list[News]]:
+def read_notices(found: Any, after: int, vouches: bool = False) -> tuple[int, list[ServerListUpdate]]:
     """The number of the last event and the news after `after`; ValueError for what is not of the form.
 
     A notice that can't be read, or whose number goes back, is named in the log, and the others are taken:
@@ -70,11 +74,11 @@
     logger.warning("notice board: passed over: {problem}", event="board-odd", problem=problem)
 
 
-def read_pool(pool: Any, vouches: bool) -> News:
+def read_pool(pool: Any, vouches: bool) -> ServerListUpdate:
     """One event's news; targets that can't be read are named in the log and stay as they were."""
     if not isinstance(pool, dict) or not isinstance(pool.get("targets"), list):
         raise ValueError("a pool without targets")
-    servers: dict[str, Located] = {}
+    servers: dict[str, LocatedServer] = {}
     kept: set[str] = set()
     for target in pool["targets"]:
         uid = target.get("uid") if isinstance(target, dict) else None
@@ -89,14 +93,14 @@
             continue
         if (twice := servers.get(uid)) is not None:
             odd(f"target {uid[:40]} is listed twice")
-            if SHUT[twice.listed.standing] >= SHUT[located.listed.standing]:
+            if SHUT[twice.listed.status] >= SHUT[located.listed.status]:
                 continue  # that it takes nothing new counts, whatever else is said
         servers[uid] = located
     whole = bool(pool.get("all", False))
-    return News(0, whole, tuple(servers.values()), vouches, frozenset(kept - set(servers)))
+    return ServerListUpdate(0, whole, tuple(servers.values()), vouches, frozenset(kept - set(servers)))
 
 
-def read_target(uid: str, target: dict[str, Any]) -> Located:
+def read_target(uid: str, target: dict[str, Any]) -> LocatedServer:
     """One target; of one that takes nothing new only the state has to be readable."""
     standing = STATES[target["state"]]
     try:
@@ -104,11 +108,11 @@
         parse_endpoint(endpoint.removeprefix(WS).partition("/")[0])
         started_ms = float(target.get("boot_ms") or 0)
     except (KeyError, TypeError, ValueError):
-        if standing is api.Standing.ACTIVE:
+        if standing is api.ServerStatus.ACTIVE:
             raise
         place, endpoint, started_ms = -1, "", 0.0
     listed = api.ListedServer(uid, place, standing, started_ms or None)
-    return Located(listed, endpoint, name_of(target, "az"), name_of(target, "service"))
+    return LocatedServer(listed, endpoint, name_of(target, "az"), name_of(target, "service"))
 
 
 def name_of(target: dict[str, Any], key: str) -> str:
--- a/capershelf/registry/eureka.py
+++ b/capershelf/registry/eureka.py
@@ -18,7 +18,7 @@
 from capershelf import interface as api
 from capershelf.config import EurekaRegistry
 from capershelf.core.clock import Clock, Inbox
-from capershelf.core.model import Located, News
+from capershelf.core.model import LocatedServer, ServerListUpdate
 from capershelf.net.http import HttpClient
 from capershelf.registry.source import Tell
 
@@ -59,7 +59,7 @@
         raise EurekaError(f"not a list of applications: {problem!r}") from problem
 
 
-def located(instance_id: str, instance: dict[str, Any]) -> Located:
+def located(instance_id: str, instance: dict[str, Any]) -> LocatedServer:
     """An instance as a booking server."""
     try:
         metadata = instance.get("metadata") or {}
@@ -68,13 +68,15 @@
         listed = api.ListedServer(
             instance_id,
             int(metadata.get("place", 0)),
-            api.Standing.ACTIVE if active else api.Standing.DRAINING,
+            api.ServerStatus.ACTIVE if active else api.ServerStatus.DRAINING,
             started_ms or None,
         )
         endpoint = f"{instance.get('ipAddr') or instance['hostName']}:{int(instance['port']['$'])}"
         if metadata.get("transport") == "ws":
             endpoint = f"ws://{endpoint}/{str(metadata.get('path', '')).lstrip('/')}"
-        return Located(listed, endpoint, str(metadata.get("zone", "")), str(metadata.get("service", "")))
+        return LocatedServer(
+            listed, endpoint, str(metadata.get("zone", "")), str(metadata.get("service", ""))
+        )
     except (KeyError, TypeError, ValueError, AttributeError) as problem:
         raise EurekaError(f"instance {instance_id} can't be read: {problem!r}") from problem
 
@@ -91,7 +93,7 @@
         self._inbox: Inbox[str] = Inbox(clock)
         self._instances: dict[tuple[str, str], dict[str, Any]] | None = None  # of all applications
         self._version = 0
-        self._told: tuple[Located, ...] | None = None
+        self._told: tuple[LocatedServer, ...] | None = None
         self._registered = False
         self._fetch_at_ms = self._renew_at_ms = clock.now_ms()
         if not config.own_app:
@@ -197,7 +199,7 @@
         if tuple(servers) != self._told:
             self._told = tuple(servers)
             self._version += 1
-            self._tell(News(self._version, True, self._told))
+            self._tell(ServerListUpdate(self._version, True, self._told))
 
     # -- this proxy's own entry -----------------------------------------------------------------------
     @property
--- a/capershelf/registry/source.py
+++ b/capershelf/registry/source.py
@@ -1,13 +1,13 @@
-"""What every registry source is: something that tells News until it is ended."""
+"""What every registry source is: something that tells ServerListUpdate until it is ended."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-from capershelf.core.model import News
+from capershelf.core.model import ServerListUpdate
 
-Tell = Callable[[News], None]
+Tell = Callable[[ServerListUpdate], None]
 
 
 class Source(Protocol):
--- a/capershelf/subset/membership.py
+++ b/capershelf/subset/membership.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from capershelf.core.model import Located
-from capershelf.interface import Standing
+from capershelf.core.model import LocatedServer
+from capershelf.interface import ServerStatus
 from capershelf.subset.selection import Candidate, check_size, fixed_order, share
 
 RETURN_MS = 5000.0  # a member is back for so long before its substitute is let go
@@ -25,7 +25,7 @@
 class Update:
     """Changes of the list for the host; `urgent` are to be connected to at once, others when convenient."""
 
-    servers: tuple[Located, ...] = ()
+    servers: tuple[LocatedServer, ...] = ()
     urgent: tuple[str, ...] = ()
 
 
@@ -33,7 +33,7 @@
 class Entry:
     """A listed server."""
 
-    located: Located
+    located: LocatedServer
     member: bool = False  # the host has it as the list does
     leaving: bool = False  # the host has it as one that drains, since it is not wanted here any more
     unavailable: bool = False
@@ -41,7 +41,7 @@
 
     @property
     def active(self) -> bool:
-        return self.located.listed.standing is Standing.ACTIVE
+        return self.located.listed.status is ServerStatus.ACTIVE
 
     @property
     def may_leave(self) -> bool:
@@ -84,10 +84,12 @@
         services = self._services.values()
         return frozenset(name for one in services for name, entry in one.entries.items() if entry.member)
 
-    def take_list(self, now_ms: float, servers: Iterable[Located], kept: frozenset[str] | None) -> Update:
+    def update_list(
+        self, now_ms: float, servers: Iterable[LocatedServer], kept: frozenset[str] | None
+    ) -> Update:
         """The list's changes.  kept: with a whole list, the names of entries that stay though it has them
         not; None: these are changes alone."""
-        changed: list[Located] = []
+        changed: list[LocatedServer] = []
         named: set[str] = set()
         for located in servers:
             named.add(located.listed.server)
@@ -107,23 +109,23 @@
         self, now_ms: float, unavailable: Callable[[str], bool], idle: Callable[[str], bool]
     ) -> Update:
         """Look at members again: substitutes join and leave, and what has left is let go of once idle."""
-        changed: list[Located] = []
+        changed: list[LocatedServer] = []
         urgent: list[str] = []
         for service in self._services.values():
             for server, entry in service.entries.items():
                 if entry.leaving and idle(server):
                     entry.leaving = False
-                    changed.append(_with_standing(entry.located, Standing.GONE))
+                    changed.append(_with_standing(entry.located, ServerStatus.REMOVED))
                 elif entry.member:
                     _note(now_ms, entry, unavailable(server))
             urgent += self._balance(now_ms, service, changed)
         return Update(tuple(changed), tuple(urgent))
 
     # -- the list -------------------------------------------------------------------------------------
-    def _take_entry(self, located: Located) -> list[Located]:
+    def _take_entry(self, located: LocatedServer) -> list[LocatedServer]:
         """One entry of the list; what the host has to hear of it, other than that it joins."""
-        server, place = located.listed.server, located.listed.place
-        if located.listed.standing is Standing.GONE:
+        server, place = located.listed.server, located.listed.pool
+        if located.listed.status is ServerStatus.REMOVED:
             return self._remove(server)
         name = self._service_of.get(server)
         if name is None:
@@ -136,17 +138,17 @@
         if located.endpoint and located.service != name:  # it has changed services: never in both
             return self._remove(server) + self._take_entry(located)
         entry = self._services[name].entries[server]
-        entry.located = located if located.endpoint else _with_standing(entry.located, Standing.DRAINING)
+        entry.located = located if located.endpoint else _with_standing(entry.located, ServerStatus.DRAINING)
         if entry.member:
             return [self._shared(self._services[name], entry)]
-        return [_with_standing(entry.located, Standing.DRAINING)] if entry.leaving else []
+        return [_with_standing(entry.located, ServerStatus.DRAINING)] if entry.leaving else []
 
-    def _remove(self, server: str) -> list[Located]:
+    def _remove(self, server: str) -> list[LocatedServer]:
         """The list has it no more."""
         if (name := self._service_of.pop(server, None)) is None:
             return []
         entry = self._services[name].entries.pop(server)
-        return [_with_standing(entry.located, Standing.GONE)] if entry.member or entry.leaving else []
+        return [_with_standing(entry.located, ServerStatus.REMOVED)] if entry.member or entry.leaving else []
 
     def _put_in_order(self, service: Service) -> None:
         active = [
@@ -157,7 +159,7 @@
         service.sender_share = share(self._size, len(active))
 
     # -- members --------------------------------------------------------------------------------------
-    def _balance(self, now_ms: float, service: Service, changed: list[Located]) -> list[str]:
+    def _balance(self, now_ms: float, service: Service, changed: list[LocatedServer]) -> list[str]:
         """Have the wanted servers join and the others leave; who has joined."""
         wanted = self._wanted(now_ms, service)
         joined = []
@@ -168,7 +170,7 @@
                 joined.append(server)
             elif entry.member and entry.may_leave and server not in wanted:
                 entry.member, entry.leaving = False, True
-                changed.append(_with_standing(entry.located, Standing.DRAINING))
+                changed.append(_with_standing(entry.located, ServerStatus.DRAINING))
         return joined
 
     def _wanted(self, now_ms: float, service: Service) -> set[str]:
@@ -198,7 +200,7 @@
         self._allowance -= 1.0
         return True
 
-    def _shared(self, service: Service, entry: Entry) -> Located:
+    def _shared(self, service: Service, entry: Entry) -> LocatedServer:
         """The entry with the share of all proxies that may send to it while cold; 0 for a substitute."""
         server = entry.located.listed.server
         in_base = server in service.base
@@ -214,5 +216,5 @@
     entry.unavailable = unavailable
 
 
-def _with_standing(located: Located, standing: Standing) -> Located:
-    return dataclasses.replace(located, listed=dataclasses.replace(located.listed, standing=standing))
+def _with_standing(located: LocatedServer, standing: ServerStatus) -> LocatedServer:
+    return dataclasses.replace(located, listed=dataclasses.replace(located.listed, status=standing))
--- a/capershelf/subset/summary.py
+++ b/capershelf/subset/summary.py
@@ -5,8 +5,8 @@
 from collections import Counter
 
 from capershelf.config import Config
-from capershelf.core.model import Located
-from capershelf.interface import Standing
+from capershelf.core.model import LocatedServer
+from capershelf.interface import ServerStatus
 from capershelf.registry.board import read_notices
 from capershelf.subset.selection import share
 
@@ -15,10 +15,10 @@
     """Members of each service, and links, going by the servers that are known at the start."""
     assert config.subset is not None
     size = config.subset.size
-    listed: dict[str, Located] = {}
+    listed: dict[str, LocatedServer] = {}
     for news in read_notices(config.known, -1)[1]:
         listed |= {one.listed.server: one for one in news.servers}
-    active = [one for one in listed.values() if one.listed.standing is Standing.ACTIVE]
+    active = [one for one in listed.values() if one.listed.status is ServerStatus.ACTIVE]
     services = Counter(one.service for one in active)
     links = sum(min(size, count) for count in services.values())
     parts = [100.0 * share(size, count) for count in services.values()]
--- a/lab/capacity/module_role.py
+++ b/lab/capacity/module_role.py
@@ -22,7 +22,7 @@
 STATE_GAP_MS = 300.0
 OUT = 24  # calls that are out while ticks are measured
 WAIT_MS = 3.0
-REPORT = api.Report(300.0, 400.0, None, 60.0)
+REPORT = api.LoadReport(300.0, 400.0, None, 60.0)
 
 
 class Module:
@@ -33,7 +33,7 @@
         self.controller = Controller(config.read_settings(settings(servers)), 1)
         self.now_ms = 1_000_000.0
         listed = tuple(
-            api.ListedServer(name, place, api.Standing.ACTIVE) for place, name in enumerate(self.names)
+            api.ListedServer(name, place, api.ServerStatus.ACTIVE) for place, name in enumerate(self.names)
         )
         self.list_cpu_s = self.timed(lambda: self.feed(api.ServerList(1, True, listed)))
         self._call = 0
@@ -71,8 +71,8 @@
         return None
 
     def answer(self, call: int, server: str) -> None:
-        self.feed(api.Stands(call, 0, server, WAIT_MS))
-        self.feed(api.AttemptOver(call, 0, server, api.Result.OK, True, report=REPORT))
+        self.feed(api.AttemptSucceeded(call, 0, server, WAIT_MS))
+        self.feed(api.AttemptEnded(call, 0, server, api.Result.OK, True, report=REPORT))
 
     def calls(self, count: int) -> float:
         """Place calls at the planned pace, each answered at once; processor time of one in ms."""
--- a/lab/capacity/retry_role.py
+++ b/lab/capacity/retry_role.py
@@ -62,7 +62,7 @@
         self._controller = Controller(config.read_settings(settings(SERVERS, fleet=SERVERS)), seed)
         self._asked: dict[int, Asked] = {}
         listed = tuple(
-            api.ListedServer(f"{level}-{place}", place, api.Standing.ACTIVE) for place in range(SERVERS)
+            api.ListedServer(f"{level}-{place}", place, api.ServerStatus.ACTIVE) for place in range(SERVERS)
         )
         self._feed(api.ServerList(1, True, listed))
 
@@ -94,7 +94,7 @@
                 case api.SetTimer(delay_ms, name):
                     self._tree.engine.after(delay_ms, self._feed, api.TimerFired(name))
                 case api.Probe(server):
-                    report = api.ServerReport(server, api.Result.OK, api.Report(), True)
+                    report = api.ServerReport(server, api.Result.OK, api.LoadReport(), True)
                     self._tree.engine.after(2 * WAY_MS, self._feed, report)
 
     def _send(self, call: int, server: str, timeout_ms: float) -> None:
@@ -121,11 +121,11 @@
             self._asked.pop(call).done(result)
             now_ms = self._tree.engine.now_ms
             sent_ms = self._controller.calls[call].sent_ms if call in self._controller.calls else now_ms
-            self._feed(api.Stands(call, number, name, now_ms - sent_ms))
+            self._feed(api.AttemptSucceeded(call, number, name, now_ms - sent_ms))
             return
         asked.attempt = number  # the next one gets a number of its own
         if call in self._controller.calls and self._controller.calls[call].server is not None:
-            self._feed(api.AttemptOver(call, number, name, result, False))
+            self._feed(api.AttemptEnded(call, number, name, result, False))
 
 
 @dataclass
--- a/lab/capacity/traced_proxy.py
+++ b/lab/capacity/traced_proxy.py
@@ -65,7 +65,7 @@
 
     def add_event(self, set_up: Point, answer: Point, event: object) -> None:
         match event:
-            case m.SetUpCame(request):
+            case m.SetUpReceived(request):
                 self.add(set_up, request.id)
             case m.ServerAnswered():
                 self.add(answer, event.id)
@@ -106,11 +106,11 @@
     before(Links, "set_up", lambda server, epoch, request, *_: stamps.add(Point.SET_UP_DECIDED, request.id))
     after(Links, "set_up", lambda server, epoch, request, *_: stamps.add(Point.SET_UP_WRITTEN, request.id))
 
-    def told(word: m.Word) -> None:
+    def told(word: m.CallerMessage) -> None:
         if isinstance(word, m.Answered):
             stamps.add(Point.ANSWER_WRITTEN, word.id)
 
-    after(Session, "tell", told)
+    after(Session, "notify", told)
 
 
 if __name__ == "__main__":
--- a/lab/fleet/servers.py
+++ b/lab/fleet/servers.py
@@ -16,7 +16,7 @@
 STATE_MS = 300.0  # between two states told unasked,
 STATES_TO = 4  # on so many of the open connections
 CAUSES = {api.Result.FULL: (34, End.REFUSED), api.Result.ERROR: (17, End.FAILED)}
-NOTES = {api.Why.NO_LINE: "atb", api.Why.PROCESSOR_FULL: "acc"}
+NOTES = {api.RefusalReason.NO_LINE: "atb", api.RefusalReason.PROCESSOR_FULL: "acc"}
 
 
 def line_of(kind: str, call: str, **more: Any) -> bytes:
@@ -195,7 +195,7 @@
         if self.hung:
             return
         if self.failing > 0.0 and self._rng.random() < self.failing:
-            self._tell(call, api.Result.ERROR, api.Why.UNSAID, setup)
+            self._tell(call, api.Result.ERROR, api.RefusalReason.UNSPECIFIED, setup)
             return
         self.model.set_up(setup)
 
@@ -216,7 +216,7 @@
             passage.say(line_of("released", call))
 
     # -- what the processor says ----------------------------------------------------------------------
-    def _tell(self, call: str, result: api.Result, why: api.Why, setup: world.SetUp) -> None:
+    def _tell(self, call: str, result: api.Result, why: api.RefusalReason, setup: world.SetUp) -> None:
         """The end of a set-up."""
         held = self._held.get(call)
         if held is None or held.setup is not setup:
--- a/lab/memory_cost.py
+++ b/lab/memory_cost.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from capershelf.core import model as m
-from capershelf.interface import LearnedServer, ListedServer, Standing
+from capershelf.interface import LearnedServer, ListedServer, ServerStatus
 from capershelf.memory.ageing import HalfLives
 from capershelf.memory.disk import Folder
 from capershelf.memory.keeper import A_SWEEP, Keeper, Snapshot, Terms
@@ -32,7 +32,7 @@
         self.count += 1
         return LearnedServer(server, 20.0 + self.count % 7, 5.0, 8.0, 40.0)
 
-    def asked_rate(self) -> float:
+    def new_call_rate(self) -> float:
         return 0.1
 
 
@@ -44,19 +44,21 @@
 
 def touch_all(keeper: Keeper, uids: list[str]) -> None:
     for uid in uids:
-        keeper.touched(uid)
+        keeper.mark_changed(uid)
 
 
-def keeper_of(servers: int, book: Book | None) -> tuple[Keeper, m.News, list[Snapshot]]:
+def keeper_of(servers: int, book: Book | None) -> tuple[Keeper, m.ServerListUpdate, list[Snapshot]]:
     handed: list[Snapshot] = []
-    news = m.News(
+    news = m.ServerListUpdate(
         1,
         True,
         tuple(
-            m.Located(ListedServer(f"server-{n:06d}", n % 4, Standing.ACTIVE, NOW_MS - 1e6), f"10.0.0.1:{n}")
+            m.LocatedServer(
+                ListedServer(f"server-{n:06d}", n % 4, ServerStatus.ACTIVE, NOW_MS - 1e6), f"10.0.0.1:{n}"
+            )
             for n in range(servers)
         ),
-        vouches=True,
+        reports_all_starts=True,
     )
     terms = Terms(0, 1, 4, HalfLives(), 7 * 86_400_000.0)
     return Keeper(terms, book, handed.append), news, handed
@@ -66,16 +68,16 @@
     """Times in milliseconds, the middle of many."""
     keeper, news, handed = keeper_of(servers, None)
     door = Door()
-    keeper.listed(news, NOW_MS)
+    keeper.recall(news, NOW_MS)
     for located in news.servers:
-        keeper.touched(located.listed.server)
-    everything = took_ms(lambda: keeper.sweep(door, NOW_MS, True))
+        keeper.mark_changed(located.listed.server)
+    everything = took_ms(lambda: keeper.collect(door, NOW_MS, True))
     sweeps, touches = [], []
     for number in range(ROUNDS):
         handed[-1].taken = True  # each sweep hands a snapshot over
         touched = [f"server-{(number * A_SWEEP + n) % servers:06d}" for n in range(A_SWEEP)]
         touches.append(took_ms(partial(touch_all, keeper, touched)) / A_SWEEP)
-        sweeps.append(took_ms(partial(keeper.sweep, door, NOW_MS + 1000.0 * (number + 1), False)))
+        sweeps.append(took_ms(partial(keeper.collect, door, NOW_MS + 1000.0 * (number + 1), False)))
     book = Book(
         release="lab",
         proxy="p",
@@ -93,7 +95,7 @@
     starts = []
     for _ in range(5):
         again, news, _ = keeper_of(servers, book)
-        starts.append(took_ms(partial(again.listed, news, NOW_MS + 1000.0)))
+        starts.append(took_ms(partial(again.recall, news, NOW_MS + 1000.0)))
     return {
         "servers": servers,
         "touch_ms": round(statistics.median(touches), 5),
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -50,7 +50,7 @@
         resend_ms=contract.resend_ms,
         may_cancel=True,
         may_probe=contract.told_ms > 0,
-        reports=api.Reports.ANSWERS,
+        load_report_source=api.LoadReportSource.ANSWERS,
     )
 
 
@@ -104,11 +104,13 @@
         """The whole list, as a notice board gives it."""
         self.version += 1
         listed = tuple(
-            m.Located(api.ListedServer(s.uid, s.place, api.Standing.ACTIVE, s.started_ms), f"{s.uid}:1")
+            m.LocatedServer(
+                api.ListedServer(s.uid, s.place, api.ServerStatus.ACTIVE, s.started_ms), f"{s.uid}:1"
+            )
             for s in self.servers
         )
-        news = m.News(self.version, True, listed, vouches=True)
-        if (known := self.keeper.listed(news, self.engine.now_ms)) is not None:
+        news = m.ServerListUpdate(self.version, True, listed, reports_all_starts=True)
+        if (known := self.keeper.recall(news, self.engine.now_ms)) is not None:
             self.feed(known)
         self.feed(api.ServerList(self.version, True, tuple(one.listed for one in listed)))
 
@@ -140,7 +142,7 @@
 
     def _sweep(self, life: int) -> None:
         if life == self.life:
-            self.engine.at(self.keeper.sweep(self.controller, self.engine.now_ms, False), self._sweep, life)
+            self.engine.at(self.keeper.collect(self.controller, self.engine.now_ms, False), self._sweep, life)
 
     # -- callers --------------------------------------------------------------------------------------
     def ask(self, call: int, arrival: Arrival, expires_ms: float, done: Callable[[str], None]) -> None:
@@ -158,8 +160,8 @@
         if not self.alive:
             return
         actions = list(self.controller.handle(self.engine.now_ms, event))
-        if isinstance(event, api.Stands | api.AttemptOver | api.ServerReport):
-            self.keeper.touched(event.server)
+        if isinstance(event, api.AttemptSucceeded | api.AttemptEnded | api.ServerReport):
+            self.keeper.mark_changed(event.server)
         for action in actions:
             match action:
                 case api.Send(call, uid, timeout_ms, _):
@@ -171,7 +173,13 @@
                 case api.Cancel(call, number):
                     asked = self.asked.get(call)
                     if asked is not None and asked.attempt == number:
-                        self._end(asked, number, api.Result.CANCELLED, api.Why.UNSAID, api.Report())
+                        self._end(
+                            asked,
+                            number,
+                            api.Result.CANCELLED,
+                            api.RefusalReason.UNSPECIFIED,
+                            api.LoadReport(),
+                        )
                 case api.Probe(uid):
                     self.engine.after(2.0 * WAY_MS, self._probed, self.life, uid)
                 case api.SetTimer(delay_ms, name):
@@ -195,10 +203,10 @@
         asked.server = server
         self.rules.sent(self.number, asked.call, server, sent_ms)
 
-        def told(result: api.Result, why: api.Why, report: api.Report) -> None:
+        def told(result: api.Result, why: api.RefusalReason, report: api.LoadReport) -> None:
             self.engine.after(WAY_MS, heard, result, why, report)
 
-        def heard(result: api.Result, why: api.Why, report: api.Report) -> None:
+        def heard(result: api.Result, why: api.RefusalReason, report: api.LoadReport) -> None:
             if life != self.life or asked.setup is not setup:
                 return
             if result is not api.Result.OK:
@@ -207,16 +215,16 @@
             asked.setup = None
             self.rules.ended(asked.call, self.engine.now_ms, False)
             self._final(asked.call, "stands")
-            self.feed(api.Stands(asked.call, number, server.uid, self.engine.now_ms - sent_ms))
+            self.feed(api.AttemptSucceeded(asked.call, number, server.uid, self.engine.now_ms - sent_ms))
             if self.contract.told_ms <= 0:
                 self.feed(api.ServerReport(server.uid, api.Result.OK, report, False))
 
-        def over(report: api.Report) -> None:
+        def over(report: api.LoadReport) -> None:
             if life == self.life:
                 self.engine.after(
                     WAY_MS,
                     self.feed,
-                    api.AttemptOver(asked.call, number, server.uid, api.Result.OK, True, report=report),
+                    api.AttemptEnded(asked.call, number, server.uid, api.Result.OK, True, report=report),
                 )
 
         setup = SetUp(asked.call, told, over)
@@ -231,9 +239,11 @@
 
     def _due(self, life: int, asked: Asked, number: int) -> None:
         if life == self.life and asked.attempt == number and asked.setup is not None:
-            self._end(asked, number, api.Result.TIMEOUT, api.Why.UNSAID, api.Report())
+            self._end(asked, number, api.Result.TIMEOUT, api.RefusalReason.UNSPECIFIED, api.LoadReport())
 
-    def _end(self, asked: Asked, number: int, result: api.Result, why: api.Why, report: api.Report) -> None:
+    def _end(
+        self, asked: Asked, number: int, result: api.Result, why: api.RefusalReason, report: api.LoadReport
+    ) -> None:
         setup, server = asked.setup, asked.server
         if setup is None or server is None:
             return
@@ -241,4 +251,4 @@
         if result in (api.Result.TIMEOUT, api.Result.CANCELLED):
             server.give_up(setup)
         self.rules.ended(asked.call, self.engine.now_ms, result in OF_WHICH_RAN)
-        self.feed(api.AttemptOver(asked.call, number, server.uid, result, False, why, None, report))
+        self.feed(api.AttemptEnded(asked.call, number, server.uid, result, False, why, None, report))
--- a/lab/spread.py
+++ b/lab/spread.py
@@ -107,9 +107,9 @@
             case api.NewCall():
                 self._calls[event.call] = event, set()
                 return self._send(now_ms, event.call)
-            case api.Stands():
+            case api.AttemptSucceeded():
                 self._calls.pop(event.call, None)
-            case api.AttemptOver() if event.call in self._calls and not event.settled:
+            case api.AttemptEnded() if event.call in self._calls and not event.call_finished:
                 self._calls[event.call][1].add(event.server)
                 ran = event.result in (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED)
                 if not ran and len(self._calls[event.call][1]) < control.TRIES:
@@ -148,7 +148,7 @@
         if self.failing > 0.0 and self.draw() < self.failing:
             if self.sent_on is not None:
                 self.sent_on(self.engine.now_ms)
-            setup.tell(api.Result.ERROR, api.Why.UNSAID, self.report())
+            setup.tell(api.Result.ERROR, api.RefusalReason.UNSPECIFIED, self.report())
         else:
             super().set_up(setup)
 
--- a/lab/world.py
+++ b/lab/world.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from capershelf.interface import Report, Result, Why
+from capershelf.interface import LoadReport, RefusalReason, Result
 from lab.engine import Time
 
 SETUP_PART, ANSWER_PART, RELEASE_PART = 0.55, 0.25, 0.2  # of a call's work
@@ -63,8 +63,8 @@
     """A set-up at a server; tell gives its end back to the proxy that sent it."""
 
     call: int
-    tell: Callable[[Result, Why, Report], None]
-    ended: Callable[[Report], None]
+    tell: Callable[[Result, RefusalReason, LoadReport], None]
+    ended: Callable[[LoadReport], None]
     jobs: list[Job] = field(default_factory=list)
     line: bool = False
     stands: bool = False
@@ -116,15 +116,15 @@
             if setup.stands:
                 setup.ended(self.report())
             else:
-                setup.tell(Result.RESET, Why.UNSAID, Report())
+                setup.tell(Result.RESET, RefusalReason.UNSPECIFIED, LoadReport())
         for job in self.queue:
             job.dropped = True
 
-    def report(self, unasked: bool = False) -> Report:
+    def report(self, unasked: bool = False) -> LoadReport:
         while len(self.takes) > 1 and self.takes[1][0] <= self.engine.now_ms:
             self.takes.popleft()
         takes = self.takes[0][1] if self.takes and not unasked else None
-        return Report(float(self.lines - self.taken), float(self.lines), None, takes)
+        return LoadReport(float(self.lines - self.taken), float(self.lines), None, takes)
 
     def tell_rate(self, noise: Callable[[], float]) -> None:
         """The set-ups a second that it can take from all: noisy, late, and less where its wait is long."""
@@ -163,16 +163,16 @@
     # -- what proxies send ----------------------------------------------------------------------------
     def set_up(self, setup: SetUp) -> None:
         if self.engine.now_ms < self.up_ms:
-            setup.tell(Result.NO_CONNECTION, Why.UNSAID, Report())
+            setup.tell(Result.NO_CONNECTION, RefusalReason.UNSPECIFIED, LoadReport())
             return
         if self.sent_on is not None:
             self.sent_on(self.engine.now_ms)
         if self.taken >= self.lines:
-            self.work(REFUSAL_PART, lambda: setup.tell(Result.FULL, Why.NO_LINE, self.report()))
+            self.work(REFUSAL_PART, lambda: setup.tell(Result.FULL, RefusalReason.NO_LINE, self.report()))
             return
         if self.waiting_ms / self.speed() > self.turn_away_ms:
             self.work(0.0, lambda: None)
-            setup.tell(Result.FULL, Why.PROCESSOR_FULL, self.report())
+            setup.tell(Result.FULL, RefusalReason.PROCESSOR_FULL, self.report())
             return
         self.taken += 1
         setup.line = True
@@ -196,7 +196,7 @@
         if setup.over:
             return
         setup.stands = True
-        setup.tell(Result.OK, Why.UNSAID, self.report())
+        setup.tell(Result.OK, RefusalReason.UNSPECIFIED, self.report())
         self.engine.after(self.hold(), self._end, setup)
 
     def _end(self, setup: SetUp) -> None:
--- a/tests/memory_rig.py
+++ b/tests/memory_rig.py
@@ -55,13 +55,13 @@
     uid: str = "s0",
     started_ms: float | None = NOW_MS - 1e6,
     endpoint: str = "",
-    standing: api.Standing = api.Standing.ACTIVE,
-) -> m.Located:
-    return m.Located(api.ListedServer(uid, 0, standing, started_ms), endpoint or f"{uid}:1")
+    standing: api.ServerStatus = api.ServerStatus.ACTIVE,
+) -> m.LocatedServer:
+    return m.LocatedServer(api.ListedServer(uid, 0, standing, started_ms), endpoint or f"{uid}:1")
 
 
-def news(*servers: m.Located, whole: bool = True, vouches: bool = True) -> m.News:
-    return m.News(1, whole, servers, vouches)
+def news(*servers: m.LocatedServer, whole: bool = True, vouches: bool = True) -> m.ServerListUpdate:
+    return m.ServerListUpdate(1, whole, servers, vouches)
 
 
 class CutError(Exception):
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -125,15 +125,15 @@
         links = self.planner.servers
         send: Callable[[str, int, m.SetUp, float, m.WriteGate], None] = links.set_up
 
-        def noted(server: str, epoch: int, request: m.SetUp, left_ms: float, gate: m.WriteGate) -> None:
-            self.attempts.append((self.clock.now_ms() - 1_000_000.0, request.id, server, left_ms))
-            send(server, epoch, request, left_ms, gate)
+        def noted(server: str, epoch: int, request: m.SetUp, remaining_ms: float, gate: m.WriteGate) -> None:
+            self.attempts.append((self.clock.now_ms() - 1_000_000.0, request.id, server, remaining_ms))
+            send(server, epoch, request, remaining_ms, gate)
 
         links.set_up = noted  # type: ignore[method-assign]
         self.node.start()
         self.settle()
         for server in self.planner._known:
-            links.wake(server)  # else each is opened some time later, spread over a fleet's proxies
+            links.connect(server)  # else each is opened some time later, spread over a fleet's proxies
         self.links = [server.peer() for server in self.servers]
         self.until(lambda: all(known.epoch is not None for known in self.planner._known.values()))
         self._epochs = {known.id: known.epoch for known in self.planner._known.values()}
@@ -142,7 +142,7 @@
         """The next connection to that server, now and not when its pause is over; the planner knows it."""
         name = name or f"s{number}"
         self.settle()
-        self.planner.servers.wake(name)
+        self.planner.servers.connect(name)
         peer = self.servers[number].peer()
         self.until(lambda: self._epoch(name) not in (None, self._epochs.get(name)))
         self._epochs[name] = self._epoch(name)
@@ -160,7 +160,7 @@
     def settle(self) -> None:
         """Let the planner deal with all that has reached it."""
         done = threading.Event()
-        self.planner.inbox.put(m.Reached(done.set))
+        self.planner.inbox.put(m.InboxBarrier(done.set))
         assert done.wait(PATIENCE_S)
 
     def until(self, holds: Callable[[], bool]) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -36,7 +36,10 @@
 
 
 def listed(
-    server: str, place: int, standing: api.Standing = api.Standing.ACTIVE, started_ms: float | None = None
+    server: str,
+    place: int,
+    standing: api.ServerStatus = api.ServerStatus.ACTIVE,
+    started_ms: float | None = None,
 ) -> api.ListedServer:
     return api.ListedServer(server, place, standing, started_ms)
 
@@ -77,11 +80,11 @@
         return self.tell(api.NewCall(call_id, self.now_ms + expires_in_ms, kind, far_end, **more))
 
     def stands(self, number: int, server: str = "s0", wait_ms: float = 50) -> list[api.Action]:
-        return self.tell(api.Stands(number, self.attempts.get(number, 0), server, wait_ms))
+        return self.tell(api.AttemptSucceeded(number, self.attempts.get(number, 0), server, wait_ms))
 
     def over(self, number: int, server: str, result: api.Result, **more: Any) -> list[api.Action]:
-        more.setdefault("settled", False)
-        return self.tell(api.AttemptOver(number, self.attempts.get(number, 0), server, result, **more))
+        more.setdefault("call_finished", False)
+        return self.tell(api.AttemptEnded(number, self.attempts.get(number, 0), server, result, **more))
 
     def tick(self, after_ms: float = 25) -> list[api.Action]:
         """Timers as an awake host fires them: none more than 25 ms late."""
--- a/tests/test_caller_states.py
+++ b/tests/test_caller_states.py
@@ -21,7 +21,7 @@
 from tests.peers import PATIENCE_S
 from tests.rig import settings
 
-TERMS = Terms.of(settings(retry_after_max_ms=2000.0))
+TERMS = Terms.of(settings(max_retry_after_ms=2000.0))
 FIELDS = {"class": "usual", "left": "900", "key": "k", "extras": "dest:0;width:1;via:-1"}
 UNUSABLE: list[dict[str, Any]] = [
     {"class": None},
@@ -103,11 +103,11 @@
         return True
 
     def every(self, event: m.Event) -> int:
-        if not isinstance(event, m.CallerCame):
+        if not isinstance(event, m.CallerConnected):
             self.put.append(event)
-        if isinstance(event, m.CallerBarred):
+        if isinstance(event, m.CallerRejected):
             for call in sorted(self.owed):
-                assert event.caller.tell(m.Failed(call, m.INVALID))
+                assert event.caller.notify(m.Failed(call, m.CAUSE_INVALID))
             self.owed.clear()
             event.done()
         return 1
@@ -121,7 +121,7 @@
             self.session._foul(str(over))
             self.gone = True
             assert not self.owed, "a call without its outcome"
-            assert self.said[-1]["id"] == "" and self.said[-1]["cause"] == m.INVALID
+            assert self.said[-1]["id"] == "" and self.said[-1]["cause"] == m.CAUSE_INVALID
 
     def fresh(self) -> str:
         self.count += 1
@@ -138,10 +138,10 @@
             if room:
                 self.owed.add(call)
                 event = self.put[-1]
-                assert isinstance(event, m.SetUpCame) and event.request.id == call
+                assert isinstance(event, m.SetUpReceived) and event.request.id == call
             else:
                 assert len(self.put) == before, "over its bound, and passed on"
-                assert (self.said[-1]["id"], self.said[-1]["cause"]) == (call, m.FULL)
+                assert (self.said[-1]["id"], self.said[-1]["cause"]) == (call, m.CAUSE_NO_CAPACITY)
                 assert self.said[-1]["fields"] == {"wait": "1000"}
         return call
 
@@ -154,7 +154,7 @@
         told = self.said[-2] if self.gone else self.said[-1]
         assert self.gone is (self.strikes > front.STRIKES) or self.session._credit < 0
         if not self.gone:
-            assert (told["id"], told["cause"]) == (call, m.INVALID)
+            assert (told["id"], told["cause"]) == (call, m.CAUSE_INVALID)
             assert len(self.put) == before, "passed on"
 
     @precondition(lambda self: not self.gone)
@@ -177,13 +177,13 @@
             if not self.gone:
                 self.send(json.dumps({"type": "release", "id": call, "cause": 16}).encode())
         if not self.gone and call in self.owed:
-            self.session.over(call)
+            self.session.call_ended(call)
             self.owed.discard(call)
 
     @rule(target=standing, call=consumes(calls))
     def stands(self, call: str) -> str:
         if call in self.owed or self.gone:
-            told = self.session.tell(m.Answered(call, "v=0"))
+            told = self.session.notify(m.Answered(call, "v=0"))
             assert told is not self.gone, "served, though it is hung up on"
             self.owed.discard(call)
             if told:
@@ -198,13 +198,13 @@
         before = self.session._credit
         for _ in range(many):
             self.send(json.dumps({"type": "release", "id": self.fresh(), "cause": 16}).encode())
-            self.session.over(f"{self.count:016x}")
+            self.session.call_ended(f"{self.count:016x}")
         assert not self.gone
         assert self.session._credit >= min(before, front.MOST_CREDIT)
 
     @rule(call=consumes(standing))
     def is_over(self, call: str) -> None:
-        self.session.tell(m.Ended(call, 16))
+        self.session.notify(m.Ended(call, 16))
 
     @rule(by_ms=st.floats(1.0, 20000.0))
     def time_goes_by(self, by_ms: float) -> None:
@@ -242,7 +242,7 @@
     events: queue.SimpleQueue[m.Event] = queue.SimpleQueue()
 
     def every(event: m.Event) -> int:
-        if isinstance(event, m.CallerBarred):
+        if isinstance(event, m.CallerRejected):
             event.done()
         return 1
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -132,7 +132,7 @@
             per_s = self.per_s * self.noise.uniform(0.88, 1.12)
             one.handle(
                 self.now_ms,
-                api.ServerReport(server, api.Result.OK, api.Report(80.0, 100.0, None, per_s), False),
+                api.ServerReport(server, api.Result.OK, api.LoadReport(80.0, 100.0, None, per_s), False),
             )
 
     def starts(self) -> None:
@@ -144,8 +144,8 @@
                     2,
                     True,
                     (
-                        listed("s0", 0, api.Standing.DRAINING),
-                        listed("s1", 1, api.Standing.DRAINING),
+                        listed("s0", 0, api.ServerStatus.DRAINING),
+                        listed("s1", 1, api.ServerStatus.DRAINING),
                         listed("n0", 0, started_ms=self.now_ms),
                     ),
                 ),
@@ -168,7 +168,7 @@
                     if isinstance(action, api.Send):
                         self.sent.append(self.now_ms)
                         assert action.begin_by_ms >= self.now_ms
-                        one.handle(self.now_ms, api.Stands(action.call, 0, "n0", 20.0))
+                        one.handle(self.now_ms, api.AttemptSucceeded(action.call, 0, "n0", 20.0))
 
     def budget(self, after_ms: float) -> float:
         part = 0.3 + 0.7 * after_ms / 14000.0
@@ -208,8 +208,8 @@
                 2,
                 True,
                 (
-                    listed("s0", 0, api.Standing.DRAINING),
-                    listed("s1", 1, api.Standing.DRAINING),
+                    listed("s0", 0, api.ServerStatus.DRAINING),
+                    listed("s1", 1, api.ServerStatus.DRAINING),
                     listed("n0", 0, started_ms=world.began_ms),
                 ),
             ),
@@ -253,25 +253,25 @@
             server: str,
             epoch: int,
             request: m.SetUp,
-            left_ms: float,
+            remaining_ms: float,
             gate: m.WriteGate,
             servers: FakeServers = servers,
         ) -> None:
-            if server == "n0" and gate.may_begin():
+            if server == "n0" and gate.may_write():
                 written.append(clock.now_ms())
-            FakeServers.set_up(servers, server, epoch, request, left_ms, gate)
+            FakeServers.set_up(servers, server, epoch, request, remaining_ms, gate)
 
         servers.set_up = noted  # type: ignore[method-assign]
-        planner.tell(m.News(1, True, (m.Located(listed("s0", 0), "127.0.0.1:1"),)))
+        planner.tell(m.ServerListUpdate(1, True, (m.LocatedServer(listed("s0", 0), "127.0.0.1:1"),)))
         planner.inbox.put(m.LinkUp("s0", 1))
-        planner.inbox.put(m.ServerTold("s0", api.Report(80.0, 100.0, None, per_s)))
+        planner.inbox.put(m.ServerReported("s0", api.LoadReport(80.0, 100.0, None, per_s)))
         planner.tell(
-            m.News(
+            m.ServerListUpdate(
                 2,
                 True,
                 (
-                    m.Located(listed("s0", 0, api.Standing.DRAINING), "127.0.0.1:1"),
-                    m.Located(listed("n0", 0, started_ms=clock.now_ms()), "127.0.0.1:2"),
+                    m.LocatedServer(listed("s0", 0, api.ServerStatus.DRAINING), "127.0.0.1:1"),
+                    m.LocatedServer(listed("n0", 0, started_ms=clock.now_ms()), "127.0.0.1:2"),
                 ),
             )
         )
@@ -282,7 +282,7 @@
             if step % 10 == 0:
                 calls += 1
                 asked = m.SetUp(f"{calls:016x}", "dear", clock.now_ms() + 30_000.0, f"n{calls}", "sdp", 0)
-                planner.inbox.put(m.SetUpCame(asked, FakeCaller(False)))
+                planner.inbox.put(m.SetUpReceived(asked, FakeCaller(False)))
             if step == 320:
                 planner.inbox.put(m.LinkUp("n0", 2))
             while not planner.inbox.empty():
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -42,11 +42,11 @@
     def __init__(self, opens: bool = True) -> None:
         self.opens, self.asked, self.drops = opens, 0, 0
 
-    def may_begin(self) -> bool:
+    def may_write(self) -> bool:
         self.asked += 1
         return self.opens
 
-    def dropped(self) -> None:
+    def on_dropped(self) -> None:
         self.drops += 1
 
 
@@ -99,7 +99,7 @@
         super().__init__(False)
         self.here = True
 
-    def waits(self, call_id: str) -> bool:
+    def is_waiting(self, call_id: str) -> bool:
         return self.here
 
 
@@ -108,7 +108,7 @@
     planner, servers, clock = planner_with()
     servers.slow.add("s0")
     caller = Departed()
-    planner.inbox.put(m.SetUpCame(request(1), caller))
+    planner.inbox.put(m.SetUpReceived(request(1), caller))
     go_on(planner)
     assert servers.waiting == {request(1).id: "s0"}
     return planner, servers, clock, caller
@@ -125,7 +125,7 @@
 
 def test_a_drain_that_is_told_and_not_dealt_with_stops_what_leaves_an_outbox() -> None:
     planner, servers, _, caller = in_outbox()
-    planner.tell(news(3, "s0", api.Standing.DRAINING))  # its planner is at something else
+    planner.tell(news(3, "s0", api.ServerStatus.DRAINING))  # its planner is at something else
     servers.read("s0")
     assert not servers.out
     servers.drains.add("s0")
@@ -137,8 +137,8 @@
     planner, servers, clock, _ = in_outbox()
     started_ms = clock.now_ms() + 50.0
     clock.advance(100.0)
-    again = m.Located(listed("s0", 0, api.Standing.ACTIVE, started_ms), "127.0.0.1:1")
-    planner.tell(m.News(3, False, (again,)))
+    again = m.LocatedServer(listed("s0", 0, api.ServerStatus.ACTIVE, started_ms), "127.0.0.1:1")
+    planner.tell(m.ServerListUpdate(3, False, (again,)))
     go_on(planner)
     servers.read("s0")
     assert not [call for call, at in servers.out.items() if at == "s0"]
@@ -159,7 +159,7 @@
     planner.inbox.put(m.LinkDown("s1", 1))
     go_on(planner)
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpCame(request(1), caller))
+    planner.inbox.put(m.SetUpReceived(request(1), caller))
     go_on(planner)
     call = planner.calls.by_key[request(1).key]
     assert (attempt := call.attempt) is not None and attempt.epoch is None
@@ -168,7 +168,7 @@
     clock.advance(101.0)
     planner.inbox.put(m.LinkUp(server, 2))  # it comes up after the turn is over
     go_on(planner)
-    assert attempt.over and attempt.epoch is None, "it has ended unsent"
+    assert attempt.ended and attempt.epoch is None, "it has ended unsent"
 
 
 # -- callers leave at each place where a call may wait --------------------------------------------------
@@ -185,7 +185,7 @@
             caller.say("release", A, cause=16)
         else:
             caller.sock.shutdown(socket.SHUT_RDWR)
-        until(lambda: not session.waits(A))
+        until(lambda: not session.is_waiting(A))
 
     return leave
 
@@ -195,7 +195,7 @@
 
     def __init__(self, planner: Planner) -> None:
         self._inside, self._on = threading.Event(), threading.Event()
-        planner.inbox.put(m.Reached(self._stand))
+        planner.inbox.put(m.InboxBarrier(self._stand))
         assert self._inside.wait(PATIENCE_S)
 
     def _stand(self) -> None:
@@ -233,12 +233,13 @@
         elif where == "room":  # both servers drain: it is held
             for server in stage.planner._known.values():
                 stage.planner.tell(
-                    m.News(
+                    m.ServerListUpdate(
                         9,
                         False,
                         (
-                            m.Located(
-                                listed(server.id, int(server.id[1]), api.Standing.DRAINING), server.endpoint
+                            m.LocatedServer(
+                                listed(server.id, int(server.id[1]), api.ServerStatus.DRAINING),
+                                server.endpoint,
                             ),
                         ),
                     )
@@ -258,7 +259,9 @@
             for number in range(2):
                 server = stage.planner._known[f"s{number}"]
                 stage.planner.tell(
-                    m.News(10 + number, False, (m.Located(listed(server.id, number), server.endpoint),))
+                    m.ServerListUpdate(
+                        10 + number, False, (m.LocatedServer(listed(server.id, number), server.endpoint),)
+                    )
                 )
         elif where == "release":
             stage.clock.advance(RELEASE_MS + 30.0)
@@ -282,7 +285,7 @@
             link.leave()
         stage.until(lambda: all(known.epoch is None for known in stage.planner._known.values()))
         links = stage.planner.servers
-        wake, links.wake = links.wake, lambda server: ""  # type: ignore[method-assign]
+        wake, links.connect = links.connect, lambda server: ""  # type: ignore[method-assign]
         caller = stage.caller()
         caller.set_up(A)
         stage.until(
@@ -292,9 +295,9 @@
         )
         held = Held(stage.planner)
         leaves(caller, stage)
-        links.wake = wake  # type: ignore[method-assign]
+        links.connect = wake  # type: ignore[method-assign]
         for number in range(2):  # they come up, which lies behind the leaving in the planner's inbox
-            links.wake(f"s{number}")
+            links.connect(f"s{number}")
             stage.servers[number].peer()
         held.let_go_on()
         stage.until(lambda: all(known.epoch is not None for known in stage.planner._known.values()))
@@ -313,7 +316,7 @@
         stage.links[0].say("answer", A, sdp="v=0")
         assert caller.hear()["type"] == "answer"
         caller.leave()
-        stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].lost_host != "")
+        stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].lost_caller_host != "")
         other = stage.caller()
         other.say("release", A, cause=16)
         assert stage.servers[0].hear()["type"] == "release"
@@ -330,7 +333,7 @@
         until(lambda: stage.node.houses[0].owed == 1)
         (asker,) = [s for s in stage.node.fronts[0]._sessions if s._open]
         other.say("release", A, cause=16)
-        until(lambda: not asker.waits(A))
+        until(lambda: not asker.is_waiting(A))
         held.let_go_on()
         stage.settle()
         assert setups(stage) == []
@@ -353,13 +356,17 @@
     """Its answer was lost, or is late: the server's normal end says that it stood there and is over."""
     planner, servers, clock = planner_with()
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpCame(request(1), caller))
+    planner.inbox.put(m.SetUpReceived(request(1), caller))
     go_on(planner)
     assert servers.out == {request(1).id: "s0"}
     servers.ended(request(1).id, False)
-    planner.inbox.put(m.ServerReleased("s0", request(1).id, m.NORMAL, api.Result.ERROR, api.Why.UNSAID, None))
+    planner.inbox.put(
+        m.ServerReleased(
+            "s0", request(1).id, m.CAUSE_NORMAL, api.Result.ERROR, api.RefusalReason.UNSPECIFIED, None
+        )
+    )
     go_on(planner)
-    assert caller.heard == [m.Failed(request(1).id, m.NORMAL)]
+    assert caller.heard == [m.Failed(request(1).id, m.CAUSE_NORMAL)]
     planner.inbox.put(m.ServerAnswered("s0", request(1).id, "late", None))
     go_on(planner)
     clock.advance(1000.0)
@@ -378,12 +385,18 @@
 def out_again(result: api.Result, cause: int) -> tuple[Planner, FakeServers, Any]:
     """A call whose first attempt has ended, at the only server."""
     planner, servers, clock = planner_with()
-    planner.tell(m.News(3, False, (m.Located(listed("s1", 1, api.Standing.GONE), "127.0.0.1:2"),)))
-    planner.inbox.put(m.SetUpCame(request(1), FakeCaller(False)))
+    planner.tell(
+        m.ServerListUpdate(
+            3, False, (m.LocatedServer(listed("s1", 1, api.ServerStatus.REMOVED), "127.0.0.1:2"),)
+        )
+    )
+    planner.inbox.put(m.SetUpReceived(request(1), FakeCaller(False)))
     go_on(planner)
     assert servers.out == {request(1).id: "s0"}
     servers.ended(request(1).id, False)
-    planner.inbox.put(m.ServerReleased("s0", request(1).id, cause, result, api.Why.UNSAID, None))
+    planner.inbox.put(
+        m.ServerReleased("s0", request(1).id, cause, result, api.RefusalReason.UNSPECIFIED, None)
+    )
     go_on(planner)
     return planner, servers, clock
 
@@ -392,7 +405,9 @@
     planner, servers, clock = out_again(api.Result.NOT_SENT, 102)
     call = planner.calls.by_key[request(1).key]
     assert not servers.out, "the copy may still be on its way"
-    copy = m.ServerReleased("s0", request(1).id, 102, api.Result.NOT_SENT, api.Why.UNSAID, None)
+    copy = m.ServerReleased(
+        "s0", request(1).id, 102, api.Result.NOT_SENT, api.RefusalReason.UNSPECIFIED, None
+    )
     planner.inbox.put(copy)
     go_on(planner)
     clock.advance(RELEASE_MS)
@@ -402,9 +417,13 @@
 
 def test_an_answer_on_a_connection_that_was_replaced_is_not_the_next_attempts() -> None:
     planner, servers, clock = planner_with()
-    planner.tell(m.News(3, False, (m.Located(listed("s1", 1, api.Standing.GONE), "127.0.0.1:2"),)))
+    planner.tell(
+        m.ServerListUpdate(
+            3, False, (m.LocatedServer(listed("s1", 1, api.ServerStatus.REMOVED), "127.0.0.1:2"),)
+        )
+    )
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpCame(request(1), caller))
+    planner.inbox.put(m.SetUpReceived(request(1), caller))
     planner.inbox.put(m.LinkDown("s0", 1))
     planner.inbox.put(m.LinkUp("s0", 2))
     go_on(planner)
@@ -425,7 +444,7 @@
 def test_an_answer_that_crosses_its_connections_end_leaves_nothing_standing(late_ms: float) -> None:
     planner, servers, clock = planner_with()
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpCame(request(1, left_ms=150.0), caller))
+    planner.inbox.put(m.SetUpReceived(request(1, left_ms=150.0), caller))
     planner.inbox.put(m.LinkDown("s0", 1))
     go_on(planner)
     for _ in range(8):
@@ -445,13 +464,13 @@
 def test_a_call_that_its_caller_ends_while_no_connection_is_up_is_released_on_the_next() -> None:
     planner, servers, clock = planner_with()
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpCame(request(1), caller))
+    planner.inbox.put(m.SetUpReceived(request(1), caller))
     go_on(planner)
     servers.out.clear()
     servers.standing[request(1).id] = "s0"
     planner.inbox.put(m.ServerAnswered("s0", request(1).id, "sdp", None))
     planner.inbox.put(m.LinkDown("s0", 1))
-    planner.inbox.put(m.CallerReleased(request(1).id, m.NORMAL, caller))
+    planner.inbox.put(m.CallerReleased(request(1).id, m.CAUSE_NORMAL, caller))
     go_on(planner)
     assert servers.standing, "there is no way to say it"
     clock.advance(100.0)
@@ -459,12 +478,12 @@
     go_on(planner)
     assert not servers.standing
     # One that stays away for so long that its calls count as cut is told nothing of them later.
-    planner._known["s0"].unsaid["x"] = m.NORMAL
+    planner._known["s0"].pending_releases["x"] = m.CAUSE_NORMAL
     planner.inbox.put(m.LinkDown("s0", 2))
     go_on(planner)
     clock.advance(LOST_AFTER_MS)
     go_on(planner)
-    assert not planner._known["s0"].unsaid
+    assert not planner._known["s0"].pending_releases
 
 
 def test_one_action_that_can_not_be_carried_out_does_not_cost_those_after_it(
@@ -484,12 +503,12 @@
 def test_a_set_up_that_comes_again_after_its_caller_hung_up_is_a_call_of_its_own_after_the_release() -> None:
     planner, servers, clock = planner_with()
     first, second = Departed(), FakeCaller(False)
-    planner.inbox.put(m.SetUpCame(request(1), first))
+    planner.inbox.put(m.SetUpReceived(request(1), first))
     go_on(planner)
     assert servers.out == {request(1).id: "s0"}
     first.here = False  # its connection broke, which lies behind the set-up in the inbox
-    planner.inbox.put(m.SetUpCame(request(1), second))
-    planner.inbox.put(m.CallerLost(first))
+    planner.inbox.put(m.SetUpReceived(request(1), second))
+    planner.inbox.put(m.CallerDisconnected(first))
     go_on(planner)
     assert not second.heard and not servers.out
     clock.advance(RELEASE_MS - 1.0)
@@ -525,20 +544,24 @@
     )
     planner = Planner(terms, 1, clock, 500.0)
     planner.servers = servers = Unruled(clock)
-    planner.tell(news(1, "s0", api.Standing.ACTIVE))
+    planner.tell(news(1, "s0", api.ServerStatus.ACTIVE))
     planner.inbox.put(m.LinkUp("s0", 1))
     asked = m.SetUp("00000000000000aa", name, clock.now_ms() + 90_000.0, "n", "sdp", 0)
-    planner.inbox.put(m.SetUpCame(asked, caller))
+    planner.inbox.put(m.SetUpReceived(asked, caller))
     other = m.SetUp("00000000000000ab", "slot-lookup", asked.expires_ms, "n", "sdp")
-    planner.inbox.put(m.SetUpCame(other, caller))
+    planner.inbox.put(m.SetUpReceived(other, caller))
     go_on(planner)
-    assert caller.heard == [m.Failed("00000000000000ab", m.INVALID)], "a class that is not of this customer's"
+    assert caller.heard == [m.Failed("00000000000000ab", m.CAUSE_INVALID)], (
+        "a class that is not of this customer's"
+    )
     ended: list[float] = []
     while not caller.heard[1:]:
         assert len(ended) <= attempts
         if len(servers.sent_at) > len(ended):  # out: it is reset at once
             ended.append(clock.now_ms())
-            planner.inbox.put(m.ServerReleased("s0", asked.id, 41, api.Result.RESET, api.Why.UNSAID, None))
+            planner.inbox.put(
+                m.ServerReleased("s0", asked.id, 41, api.Result.RESET, api.RefusalReason.UNSPECIFIED, None)
+            )
         go_on(planner)
         clock.advance(10.0)
         go_on(planner)
@@ -554,6 +577,8 @@
         super().__init__(clock)
         self.sent_at: list[float] = []
 
-    def set_up(self, server: str, epoch: int, request: m.SetUp, left_ms: float, gate: m.WriteGate) -> None:
-        assert gate.may_begin()
+    def set_up(
+        self, server: str, epoch: int, request: m.SetUp, remaining_ms: float, gate: m.WriteGate
+    ) -> None:
+        assert gate.may_write()
         self.sent_at.append(self.clock.now_ms())
--- a/tests/test_detector.py
+++ b/tests/test_detector.py
@@ -138,7 +138,7 @@
     g = rig.controller.gates["s0"]
     sent_ms = g.tried_ms
     g.seen_wait_ms = 430.0
-    rig.over(1, "s0", api.Result.ERROR, why=api.Why.NUMBER_BUSY)
+    rig.over(1, "s0", api.Result.ERROR, reason=api.RefusalReason.NUMBER_BUSY)
     assert not rig.of(api.Send)
     # Two calls in a second, with one server to go to.
     setattr(rig.controller.asked, "value", lambda now_ms: 0.002)  # noqa: B010
@@ -156,9 +156,9 @@
     rig.call(1, far_end=1)
     assert [send.server for send in rig.of(api.Send)] == ["s1"]
     others = [name for name in rig.controller.gates if name != "s1"]
-    rig.over(1, "s1", api.Result.FULL, why=api.Why.PROCESSOR_FULL)
+    rig.over(1, "s1", api.Result.FULL, reason=api.RefusalReason.PROCESSOR_FULL)
     assert [send.server for send in rig.of(api.Send)] == [others[0]]  # next in the sender's hash order
-    rig.over(1, others[0], api.Result.FULL, why=api.Why.PROCESSOR_FULL)
+    rig.over(1, others[0], api.Result.FULL, reason=api.RefusalReason.PROCESSOR_FULL)
     assert rig.last[0] == api.Refuse(1)
 
 
@@ -178,7 +178,7 @@
     rig = Rig(servers=2)
     for call in range(6):
         rig.call(call, number="same")
-        rig.over(call, "s0", api.Result.ERROR, why=api.Why.NUMBER_BUSY)
+        rig.over(call, "s0", api.Result.ERROR, reason=api.RefusalReason.NUMBER_BUSY)
         assert rig.of(api.Fail) == [api.Fail(call)]
     assert not rig.controller.gates["s0"].silent
 
@@ -193,14 +193,14 @@
 
 def test_free_lines_are_counted_between_reports() -> None:
     rig = Rig(servers=1)
-    told = api.ServerReport("s0", api.Result.OK, api.Report(free_lines=1.0), probe=False)
+    told = api.ServerReport("s0", api.Result.OK, api.LoadReport(free_lines=1.0), probe=False)
     rig.tell(told)
     rig.call(1)
     assert [send.call for send in rig.of(api.Send)] == [1]
     rig.stands(1)
     rig.call(2)
     assert not rig.of(api.Send)  # our own set-up took the last line
-    rig.over(1, "s0", api.Result.OK, settled=True)
+    rig.over(1, "s0", api.Result.OK, call_finished=True)
     assert [send.call for send in rig.of(api.Send)] == [2]  # and its end gave it back
 
 
@@ -232,7 +232,7 @@
 
 def test_the_report_of_a_failed_probe_is_no_news() -> None:
     rig = Rig(servers=1)
-    report = api.Report(free_lines=0.0, wait_ms=900.0)
+    report = api.LoadReport(free_lines=0.0, wait_ms=900.0)
     rig.tell(api.ServerReport("s0", api.Result.TIMEOUT, report, probe=True))
     assert rig.controller.gates["s0"].seen_wait_ms == 0.0
     rig.call(1)
@@ -243,7 +243,7 @@
     """Guards the first seconds: with few answers to make a pace from, idle servers were kept from calls."""
     rig = Rig(servers=1)
     gate = rig.controller.gates["s0"]
-    rig.list_of(listed("s0", 0, api.Standing.DRAINING), whole=False)
+    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), whole=False)
     for number in range(200):
         rig.now_ms += 5
         rig.call(number, expires_in_ms=9000)
@@ -278,7 +278,7 @@
         rig.now_ms += 20
         rig.call(number)
         rig.stands(number, wait_ms=20)
-    rig.list_of(listed("s0", 0, api.Standing.DRAINING), whole=False)
+    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), whole=False)
     for number in range(300, 320):
         rig.call(number, expires_in_ms=9000)
     rig.list_of(listed("s1", 0), whole=False)
@@ -417,7 +417,7 @@
 def test_servers_whose_lines_are_told_may_all_go() -> None:
     """Guards the shares of the others from a look for the least of no lines at all."""
     rig = Rig(servers=1)
-    rig.tell(api.ServerReport("s0", api.Result.OK, api.Report(5, 10), False))
+    rig.tell(api.ServerReport("s0", api.Result.OK, api.LoadReport(5, 10), False))
     rig.now_ms += 1000.0
     rig.list_of(listed("s1", 1))
     rig.now_ms += 61_000.0
--- a/tests/test_estimation.py
+++ b/tests/test_estimation.py
@@ -190,7 +190,7 @@
         rig.tick(100)
         rig.stands(n, f"s{n % 2}", 50.0 if n < 2 else 300.0)
         for server in ("s0", "s1"):
-            rig.tell(api.ServerReport(server, api.Result.OK, api.Report(500.0, 550.0, None, 40.0), False))
+            rig.tell(api.ServerReport(server, api.Result.OK, api.LoadReport(500.0, 550.0, None, 40.0), False))
         rig.tick(900)
     return rig
 
@@ -207,7 +207,7 @@
     for n in range(11):  # as silence counts twice the limit and three usual answers: 990 ms
         rig.controller.estimates.note_wait(rig.now_ms, "s1", 400.0)
         if tells and n % 10 == 0:
-            rig.tell(api.ServerReport("s0", api.Result.OK, api.Report(500.0, 550.0), False))
+            rig.tell(api.ServerReport("s0", api.Result.OK, api.LoadReport(500.0, 550.0), False))
         rig.tick(100)
     gate = rig.controller.gates["s0"]
     assert gate.lives(rig.now_ms) is tells
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -78,11 +78,11 @@
     rig = Rig(servers=12)
     rig.call(1)
     rig.stands(1)
-    rig.over(1, "s0", api.Result.OK, settled=True)
+    rig.over(1, "s0", api.Result.OK, call_finished=True)
     rig.tell(api.TimerFired("tick"), rig.now_ms + 100)
     rig.all.clear()
     for second in range(60):
-        report = api.Report(free_lines=50.0 + second, lines=100.0)
+        report = api.LoadReport(free_lines=50.0 + second, lines=100.0)
         rig.tell(api.ServerReport("s1", api.Result.OK, report, probe=False), rig.now_ms + 1000)
     assert not rig.all
 
@@ -112,7 +112,7 @@
 def test_calls_led_around_go_by_the_servers_lines() -> None:
     rig = Rig(servers=3, gateway_count=1)
     for server, lines in (("s0", 0.0), ("s1", 900.0), ("s2", 100.0)):
-        report = api.Report(free_lines=lines and lines / 2, lines=lines or 100.0)
+        report = api.LoadReport(free_lines=lines and lines / 2, lines=lines or 100.0)
         rig.tell(api.ServerReport(server, api.Result.OK, report, probe=False))
     went = {"s1": 0, "s2": 0}
     for number in range(300):
@@ -120,7 +120,7 @@
         server = rig.of(api.Send)[0].server
         went[server] += 1
         rig.stands(number, server, 20)
-        rig.over(number, server, api.Result.OK, settled=True)
+        rig.over(number, server, api.Result.OK, call_finished=True)
     assert 0.8 < went["s1"] / 300 < 0.97
 
 
@@ -148,9 +148,9 @@
     def redialled(free_lines: float, wait_ms: float) -> list[api.Send]:
         rig = Rig(servers=1)
         rig.call(1, number="n")
-        rig.tell(api.CallerGone(1))
+        rig.tell(api.CallAbandoned(1))
         rig.controller.gates["s0"].seen_wait_ms = 0.0
-        report = api.Report(free_lines=free_lines, lines=1000.0)
+        report = api.LoadReport(free_lines=free_lines, lines=1000.0)
         rig.tell(api.ServerReport("s0", api.Result.OK, report, probe=False), rig.now_ms + 1600)
         rig.controller.gates["s0"].seen_wait_ms = wait_ms
         rig.call(2, number="n")  # its aim has passed: it is worth a quarter
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 
 from capershelf import config
 from capershelf.control import NUMBERS, REDIAL_MS, Controller
-from capershelf.interface import CallerGone, ListedServer, NewCall, ServerList, Standing
+from capershelf.interface import CallAbandoned, ListedServer, NewCall, ServerList, ServerStatus
 from lab.capacity.proxies import settings as planned_settings
 from tests.rig import Rig
 
@@ -69,12 +69,12 @@
     rig.controller.first_asked = Watched()
     for number in range(3 * NUMBERS):
         rig.call(number, expires_in_ms=1)
-        rig.tell(CallerGone(number))
+        rig.tell(CallAbandoned(number))
     assert sum(looks) <= 2 * 3 * NUMBERS
     rig.now_ms += REDIAL_MS + 1.0
     for number in range(3 * NUMBERS, 9 * NUMBERS):
         rig.call(number, expires_in_ms=1)
-        rig.tell(CallerGone(number))
+        rig.tell(CallAbandoned(number))
     assert len(rig.controller.first_asked) <= 6 * NUMBERS
 
 
@@ -98,7 +98,7 @@
     found = config.read_settings(planned_settings(places))
     controller = Controller(found, 1)
     members = [
-        ListedServer(f"s{place}", CountedPlace(place), Standing.ACTIVE) for place in range(0, places, 55)
+        ListedServer(f"s{place}", CountedPlace(place), ServerStatus.ACTIVE) for place in range(0, places, 55)
     ]
     controller.handle(1000.0, ServerList(1, True, tuple(members)))
     CountedPlace.compared = 0
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -41,14 +41,14 @@
         self.rounds += 1
         now = self.rounds
         address = f"127.0.0.1:{1 + (now % 2 if reuse else now)}"
-        states = (api.Standing.ACTIVE, api.Standing.DRAINING, api.Standing.GONE)
+        states = (api.ServerStatus.ACTIVE, api.ServerStatus.DRAINING, api.ServerStatus.REMOVED)
         standings = [(now - age, state) for age, state in enumerate(states)]
         self.put(
-            m.News(
+            m.ServerListUpdate(
                 now,
                 now == 1,
                 tuple(
-                    m.Located(
+                    m.LocatedServer(
                         listed(f"s{number}", 0, standing), address if number == now else f"old:{number}"
                     )
                     for number, standing in standings
@@ -64,25 +64,27 @@
         call, caller = f"{self.calls:016x}", FakeCaller(False)
         self.seen.append(weakref.ref(caller))
         self.put(
-            m.SetUpCame(m.SetUp(call, "usual", self.clock.now_ms() + 3000.0, f"n{call}", "sdp", 0), caller)
+            m.SetUpReceived(
+                m.SetUp(call, "usual", self.clock.now_ms() + 3000.0, f"n{call}", "sdp", 0), caller
+            )
         )
         if end in ("stands", "is over", "caller goes, unheard"):
             self.put(m.ServerAnswered(server, call, "v=0", None))
         if end == "caller goes, unheard":
             caller.open = False
-            self.put(m.CallerLost(caller))
+            self.put(m.CallerDisconnected(caller))
         if end in ("is over", "caller goes, unheard"):
-            self.put(m.ServerReleased(server, call, 16, api.Result.OK, api.Why.UNSAID, None))
+            self.put(m.ServerReleased(server, call, 16, api.Result.OK, api.RefusalReason.UNSPECIFIED, None))
         if end == "caller leaves":
             self.put(m.CallerReleased(call, 16, caller))
         if end in ("error", "full"):
             cause, result = (47, api.Result.ERROR) if end == "error" else (34, api.Result.FULL)
-            self.put(m.ServerReleased(server, call, cause, result, api.Why.UNSAID, None))
+            self.put(m.ServerReleased(server, call, cause, result, api.RefusalReason.UNSPECIFIED, None))
 
     def time_passes(self, seconds: int) -> None:
         for _ in range(seconds * 4):
             self.clock.advance(250.0)
-            self.put(m.Reached(lambda: None))
+            self.put(m.InboxBarrier(lambda: None))
             while not self.planner.inbox.empty():
                 self.planner.step()
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -14,7 +14,7 @@
 from capershelf.core import model as m
 from capershelf.core.clock import ManualClock
 from capershelf.fronts.session import CREDIT
-from capershelf.interface import ListedServer, Standing
+from capershelf.interface import ListedServer, ServerStatus
 from capershelf.net.connection import start_thread
 from capershelf.net.links import HALF_MS, HEAR_OUT_MS, LATES, Link
 from capershelf.net.poller import Poller
@@ -170,7 +170,7 @@
             link.say("release", A, cause=16)
             stage.until(lambda: bool(stage.planner.calls.unheard))
         elif state != "out":
-            stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].unheard is not None)
+            stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].undelivered is not None)
         sent = len(stage.attempts)
         again_caller = stage.caller()
         again_caller.set_up(A)
@@ -351,8 +351,10 @@
         assert stage.servers[0].hear()["id"] == call
     stage.links[0].say("answer", A, sdp="v=0")
     assert outcome(caller.hear())[:2] == ("answer", A)
-    listed = ListedServer("new", 0, Standing.ACTIVE, stage.clock.now_ms())
-    stage.planner.inbox.put(m.News(2, False, (m.Located(listed, stage.servers[0].endpoint),)))
+    listed = ListedServer("new", 0, ServerStatus.ACTIVE, stage.clock.now_ms())
+    stage.planner.inbox.put(
+        m.ServerListUpdate(2, False, (m.LocatedServer(listed, stage.servers[0].endpoint),))
+    )
     assert outcome(caller.hear())[:3] == ("release", A, 41)
     assert stage.links[0].closed.wait(PATIENCE_S)
     stage.links[0] = stage.again(0, "new")
@@ -381,8 +383,10 @@
     if told == "on the next connection":
         stage.links[0].say("release", A, cause=16)
         assert outcome(caller.hear())[:3] == ("release", A, 16)
-    listed = ListedServer("new", 0, Standing.ACTIVE, stage.clock.now_ms())
-    stage.planner.inbox.put(m.News(2, False, (m.Located(listed, stage.servers[0].endpoint),)))
+    listed = ListedServer("new", 0, ServerStatus.ACTIVE, stage.clock.now_ms())
+    stage.planner.inbox.put(
+        m.ServerListUpdate(2, False, (m.LocatedServer(listed, stage.servers[0].endpoint),))
+    )
     if told == "by the list alone":
         assert outcome(caller.hear())[:3] == ("release", A, 41)
     stage.links[0] = stage.again(0, "new")
@@ -502,7 +506,7 @@
         assert old.recv(1) == b"", "the server sees that nothing more comes"
         old.sendall(b'{"type":"release","id":"%s","fields":{},"cause":16}\n' % A.encode())
         event = told.get(timeout=PATIENCE_S)
-        assert isinstance(event, m.ServerReleased) and event.id == A and event.replaced
+        assert isinstance(event, m.ServerReleased) and event.id == A and event.on_replaced_connection
         clock.advance(HEAR_OUT_MS)
         link.end()
         assert new.recv(1) == b""
@@ -590,10 +594,10 @@
     """Guards the new connection from being taken for broken when the old one's end is told after it."""
     caller, moved = stage.caller(), BookingServer(stage.websocket)
     old = stage.planner._known["s0"].epoch
-    listed = ListedServer("s0", 0, Standing.ACTIVE)
-    stage.planner.inbox.put(m.News(2, False, (m.Located(listed, moved.endpoint),)))
+    listed = ListedServer("s0", 0, ServerStatus.ACTIVE)
+    stage.planner.inbox.put(m.ServerListUpdate(2, False, (m.LocatedServer(listed, moved.endpoint),)))
     stage.settle()
-    stage.planner.servers.wake("s0")
+    stage.planner.servers.connect("s0")
     link = moved.peer()
     assert stage.links[0].closed.wait(PATIENCE_S)
     stage.until(lambda: stage.planner._known["s0"].epoch not in (None, old))
--- a/tests/test_memory_decisions.py
+++ b/tests/test_memory_decisions.py
@@ -28,7 +28,7 @@
 LIVES = HalfLives()
 HOUR_MS, DAY_MS = 3_600_000.0, 86_400_000.0
 MOST_AGE_MS = 7 * DAY_MS
-GONE, DRAINING = api.Standing.GONE, api.Standing.DRAINING
+GONE, DRAINING = api.ServerStatus.REMOVED, api.ServerStatus.DRAINING
 
 
 # -- ageing -------------------------------------------------------------------------------------------
@@ -48,7 +48,7 @@
     assert later.rate_per_s == pytest.approx(10.0)
     assert later.wait_ms == pytest.approx(0.0)
     assert later.threshold is None
-    assert later.base_ms == pytest.approx(8.0, rel=0.06)
+    assert later.base_latency_ms == pytest.approx(8.0, rel=0.06)
     assert aged(MOST_AGE_MS + 1.0) is None
 
 
@@ -56,7 +56,7 @@
     for age_ms, silent in ((0.0, True), (9_999.0, True), (10_001.0, False)):
         known = aged(age_ms, silent=True)
         assert known is not None
-        assert known.silent is silent
+        assert known.ejected is silent
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=300, database=None)
@@ -70,7 +70,7 @@
         return
     assert old.rate_per_s <= young.rate_per_s
     assert old.wait_ms <= young.wait_ms
-    assert (old.base_ms or math.inf) >= (young.base_ms or math.inf)
+    assert (old.base_latency_ms or math.inf) >= (young.base_latency_ms or math.inf)
     assert (old.threshold or math.inf) >= (young.threshold or math.inf) >= LEAST_THRESHOLD
 
 
@@ -129,7 +129,7 @@
 def test_without_proof_only_the_way_there_is_left() -> None:
     known = aged(0.0)
     assert known is not None
-    assert way_only(known) == api.LearnedServer("s0", base_ms=8.0)
+    assert way_only(known) == api.LearnedServer("s0", base_latency_ms=8.0)
 
 
 # -- the keeper ---------------------------------------------------------------------------------------
@@ -142,7 +142,7 @@
     def learned(self, server: str) -> api.LearnedServer | None:
         return self.known.get(server)
 
-    def asked_rate(self) -> float:
+    def new_call_rate(self) -> float:
         return 0.05
 
 
@@ -156,34 +156,34 @@
 
     def learn(self, uid: str, now_ms: float, **changes: object) -> None:
         self.door.known[uid] = replace(api.LearnedServer(uid, 20.0, 5.0, 8.0), **changes)  # type: ignore[arg-type]
-        self.keeper.touched(uid)
-        self.keeper.sweep(self.door, now_ms, False)
+        self.keeper.mark_changed(uid)
+        self.keeper.collect(self.door, now_ms, False)
 
 
 def test_the_keeper_recalls_each_server_once_and_what_callers_ask_at_the_start() -> None:
     kept = Kept(book(60, 2))
-    first = kept.keeper.listed(news(located("s0")), NOW_MS + 60)
+    first = kept.keeper.recall(news(located("s0")), NOW_MS + 60)
     assert first is not None
-    assert first.asked_per_s == 60.0
+    assert first.new_calls_per_s == 60.0
     assert [one.server for one in first.servers] == ["s0"]
     assert first.servers[0].rate_per_s == pytest.approx(60.0)
-    later = kept.keeper.listed(news(located("s1"), whole=False), NOW_MS + 60 + RATE_MS)
+    later = kept.keeper.recall(news(located("s1"), whole=False), NOW_MS + 60 + RATE_MS)
     assert later is not None
     # As far as the module itself has let it fade: it goes by the newest that it is told.
-    assert later.asked_per_s == pytest.approx(60.0 / math.e)
+    assert later.new_calls_per_s == pytest.approx(60.0 / math.e)
     assert [one.server for one in later.servers] == ["s1"]
-    assert kept.keeper.listed(news(located("s0"), located("s1")), NOW_MS + 60) is None
+    assert kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS + 60) is None
 
 
 def test_unproven_and_changed_servers_start_without_a_rate() -> None:
     kept = Kept(book(60, 3))
-    found = kept.keeper.listed(
+    found = kept.keeper.recall(
         news(located("s0", started_ms=None), located("s1", started_ms=NOW_MS), located("s2")), NOW_MS + 60
     )
     assert found is not None
     assert [one.server for one in found.servers] == ["s0", "s2"]
     assert [one.rate_per_s for one in found.servers] == pytest.approx([0.0, 60.0])
-    assert [one.base_ms for one in found.servers] == pytest.approx([8.0, 8.0])
+    assert [one.base_latency_ms for one in found.servers] == pytest.approx([8.0, 8.0])
 
 
 def test_what_drains_goes_or_starts_again_leaves_nothing() -> None:
@@ -194,22 +194,22 @@
         located("s0", endpoint="elsewhere:1"),
     ):
         kept = Kept(book(1, 1))
-        kept.keeper.listed(news(located("s0"), located("s1")), NOW_MS)
+        kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS)
         kept.learn("s0", NOW_MS)
         assert "s0" in kept.keeper.servers
-        kept.keeper.listed(news(change, whole=False), NOW_MS)
+        kept.keeper.recall(news(change, whole=False), NOW_MS)
         assert "s0" not in kept.keeper.servers
-    kept.keeper.listed(news(located("s1")), NOW_MS)
+    kept.keeper.recall(news(located("s1")), NOW_MS)
     kept.learn("s0", NOW_MS)
     assert "s0" not in kept.keeper.servers
     back = Kept(book(1, 1))  # and one that drained at the start has lost what was known of it
-    back.keeper.listed(news(located("s0", standing=DRAINING)), NOW_MS)
-    assert back.keeper.listed(news(located("s0")), NOW_MS) is None
+    back.keeper.recall(news(located("s0", standing=DRAINING)), NOW_MS)
+    assert back.keeper.recall(news(located("s0")), NOW_MS) is None
 
 
 def test_a_snapshot_stays_as_it_was_and_only_one_waits() -> None:
     kept = Kept()
-    kept.keeper.listed(news(located("s0"), located("s1")), NOW_MS)
+    kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS)
     kept.learn("s0", NOW_MS)
     kept.learn("s0", NOW_MS + 2 * HAND_OVER_MS, rate_per_s=90.0)
     assert len(kept.handed) == 1  # the first still waits
@@ -221,26 +221,26 @@
     assert kept.handed[1].servers["s0"].rate_per_s == 90.0
     kept.learn("s1", NOW_MS + 5 * HAND_OVER_MS, silent=True)
     assert len(kept.handed) == 2
-    kept.keeper.sweep(kept.door, NOW_MS + 5 * HAND_OVER_MS, True)
+    kept.keeper.collect(kept.door, NOW_MS + 5 * HAND_OVER_MS, True)
     assert kept.handed[2].servers["s1"].silent
 
 
 def test_a_sweep_takes_a_bounded_piece_and_an_end_takes_all() -> None:
     kept = Kept()
     uids = [f"s{n}" for n in range(5 * A_SWEEP)]
-    kept.keeper.listed(news(*(located(uid) for uid in uids)), NOW_MS)
+    kept.keeper.recall(news(*(located(uid) for uid in uids)), NOW_MS)
     for uid in uids:
         kept.door.known[uid] = api.LearnedServer(uid)
-        kept.keeper.touched(uid)
-    kept.keeper.sweep(kept.door, NOW_MS, False)
+        kept.keeper.mark_changed(uid)
+    kept.keeper.collect(kept.door, NOW_MS, False)
     assert len(kept.keeper.servers) == A_SWEEP
-    kept.keeper.sweep(kept.door, NOW_MS, True)
+    kept.keeper.collect(kept.door, NOW_MS, True)
     assert len(kept.keeper.servers) == len(uids)
 
 
 def test_the_best_rate_is_kept_through_a_quiet_hour_and_fades() -> None:
     kept = Kept()
-    kept.keeper.listed(news(located("s0")), NOW_MS)
+    kept.keeper.recall(news(located("s0")), NOW_MS)
     kept.learn("s0", NOW_MS, rate_per_s=50.0)
     kept.learn("s0", NOW_MS + HOUR_MS, rate_per_s=1.0)
     known = kept.keeper.servers["s0"]
@@ -251,8 +251,8 @@
 
 def test_what_is_carried_over_two_restarts_is_as_old_as_it_is() -> None:
     kept = Kept(book(1, 1, asked_per_s=0.0, saved_ms=NOW_MS))
-    kept.keeper.listed(news(located("s0")), NOW_MS + HOUR_MS)
-    kept.keeper.sweep(kept.door, NOW_MS + HOUR_MS, True)
+    kept.keeper.recall(news(located("s0")), NOW_MS + HOUR_MS)
+    kept.keeper.collect(kept.door, NOW_MS + HOUR_MS, True)
     assert kept.handed[0].servers["s0"].seen_ms == NOW_MS
     # The wait has faded once already: it must not count again for what it was.
     assert kept.handed[0].servers["s0"].wait_ms == pytest.approx(0.0)
@@ -315,7 +315,7 @@
     The budget is worked out here from what this life has seen alone: this gateway's share of the fleet's.
     """
     rig = Rig(0)
-    rig.tell(api.Recalled(asked_per_s, (known,)))
+    rig.tell(api.RestoredKnowledge(asked_per_s, (known,)))
     began_ms = rig.now_ms
     rig.list_of(listed("s0", 0, started_ms=began_ms))
     module, terms = rig.controller, rig.controller.settings
@@ -339,11 +339,11 @@
 def test_the_module_starts_from_what_is_recalled_and_gives_it_out_again() -> None:
     rig = Rig(0)
     known = api.LearnedServer("s0", 30.0, 120.0, 9.0, 25.0, False)
-    rig.tell(api.Recalled(40.0, (known, api.LearnedServer("s9", 1.0))))
+    rig.tell(api.RestoredKnowledge(40.0, (known, api.LearnedServer("s9", 1.0))))
     rig.list_of(listed("s0", 0), listed("s1", 1))
     gate = rig.controller.gates["s0"]
     assert (gate.usual_rate, gate.seen_wait_ms, gate.base_ms, gate.threshold) == (0.03, 120.0, 9.0, 25.0)
-    assert rig.controller.asked_rate() == pytest.approx(0.04)
+    assert rig.controller.new_call_rate() == pytest.approx(0.04)
     assert rig.controller.learned("s0") == replace(known, rate_per_s=0.0)  # own answers only
     assert rig.controller.learned("s1") == api.LearnedServer("s1")
     assert rig.controller.learned("s9") is None
@@ -357,12 +357,12 @@
     """How many of ten held calls go out in a tenth of a second once their server has lines again."""
     rig = Rig(0)
     if known is not None:
-        rig.tell(api.Recalled(0.0, (known,)))
+        rig.tell(api.RestoredKnowledge(0.0, (known,)))
     rig.list_of(listed("s0", 0))
-    rig.tell(api.ServerReport("s0", api.Result.OK, api.Report(0.0, 50.0), False))
+    rig.tell(api.ServerReport("s0", api.Result.OK, api.LoadReport(0.0, 50.0), False))
     for number in range(1, 11):
         rig.call(number)
-    rig.tell(api.ServerReport("s0", api.Result.OK, api.Report(50.0, 50.0), False))
+    rig.tell(api.ServerReport("s0", api.Result.OK, api.LoadReport(50.0, 50.0), False))
     rig.tick(100)
     return sum(isinstance(action, api.Send) for action in rig.all)
 
@@ -373,7 +373,7 @@
 
 def test_a_server_recalled_as_silent_is_tried_by_the_first_call() -> None:
     rig = Rig(0)
-    rig.tell(api.Recalled(40.0, (api.LearnedServer("s0", silent=True),)))
+    rig.tell(api.RestoredKnowledge(40.0, (api.LearnedServer("s0", ejected=True),)))
     rig.list_of(listed("s0", 0), listed("s1", 1))
     rig.call(1)
     assert [(a.call, a.server) for a in rig.of(api.Send)] == [(1, "s0")]
--- a/tests/test_planner_parts.py
+++ b/tests/test_planner_parts.py
@@ -15,19 +15,19 @@
 
 
 class FakeCaller:
-    outlived = False
+    calls_outlive_connection = False
     host = "127.0.0.1"
 
-    def elsewhere(self) -> m.Caller | None:
+    def other_connection(self) -> m.Caller | None:
         return None
 
-    def tell(self, word: m.Word) -> bool:
+    def notify(self, word: m.CallerMessage) -> bool:
         return True
 
-    def waits(self, call_id: str) -> bool:
+    def is_waiting(self, call_id: str) -> bool:
         return True
 
-    def over(self, call_id: str) -> None:
+    def call_ended(self, call_id: str) -> None:
         """Nobody counts here."""
 
 
@@ -67,7 +67,7 @@
     table.latch(call)
     fired: list[int] = []
     table.keep(call, m.Refused(CALL), timers.at(5.0, lambda: fired.append(1)))
-    call.lost_host = "127.0.0.1"
+    call.lost_caller_host = "127.0.0.1"
     table.unheard[call.request.key] = call
     assert table.unheard_of("127.0.0.1") == [call] and table.unheard_of("127.0.0.2") == []
     newer = table.add(request(), FakeCaller())
--- a/tests/test_planner_states.py
+++ b/tests/test_planner_states.py
@@ -23,19 +23,19 @@
     host = "127.0.0.1"
 
     def __init__(self, outlived: bool) -> None:
-        self.outlived, self.open, self.heard = outlived, True, list[m.Word]()
+        self.calls_outlive_connection, self.open, self.heard = outlived, True, list[m.CallerMessage]()
 
-    def tell(self, word: m.Word) -> bool:
+    def notify(self, word: m.CallerMessage) -> bool:
         if self.open:
             self.heard.append(word)
         return self.open
 
-    def over(self, call_id: str) -> None: ...
+    def call_ended(self, call_id: str) -> None: ...
 
-    def waits(self, call_id: str) -> bool:
-        return self.outlived or self.open
+    def is_waiting(self, call_id: str) -> bool:
+        return self.calls_outlive_connection or self.open
 
-    def elsewhere(self) -> m.Caller | None:
+    def other_connection(self) -> m.Caller | None:
         return None
 
 
@@ -52,15 +52,17 @@
         self.waiting: dict[str, str] = {}  # in the outbox of a connection that is read slowly
         self.gates: dict[str, m.WriteGate] = {}
 
-    def set_up(self, server: str, epoch: int, request: m.SetUp, left_ms: float, gate: m.WriteGate) -> None:
+    def set_up(
+        self, server: str, epoch: int, request: m.SetUp, remaining_ms: float, gate: m.WriteGate
+    ) -> None:
         now_ms = self.clock.now_ms()
-        assert gate.may_begin(), "handed over though it must not begin"
+        assert gate.may_write(), "handed over though it must not begin"
         if server in self.slow:
             self.gates[request.id] = gate
         assert request.id not in self.out and request.id not in self.waiting, "two attempts out"
         assert server not in self.drains, "a set-up after its server's drain was told"
         assert now_ms >= self.not_before.get(request.id, 0.0), "sent again before its release"
-        assert now_ms + left_ms <= request.expires_ms
+        assert now_ms + remaining_ms <= request.expires_ms
         (self.waiting if server in self.slow else self.out)[request.id] = server
         self.sent[request.id] = self.sent.get(request.id, 0) + 1
         assert self.sent[request.id] <= SETTINGS.max_attempts
@@ -89,19 +91,19 @@
             assert server not in self.drains, "a set-up written after its server's drain was told"
             del self.waiting[call]
             gate = self.gates.pop(call)
-            if gate.may_begin():
+            if gate.may_write():
                 self.out[call] = server
             else:
-                gate.dropped()
+                gate.on_dropped()
 
-    def written(self) -> bool:
+    def is_flushed(self) -> bool:
         return True
 
     def open(self, server: str, endpoint: str) -> None: ...
     def close(self, server: str) -> None: ...
-    def rest(self, server: str) -> None: ...
+    def disconnect(self, server: str) -> None: ...
 
-    def wake(self, server: str) -> str:
+    def connect(self, server: str) -> str:
         return ""
 
     def probe(self, server: str, epoch: int, token: str) -> None: ...
@@ -123,11 +125,11 @@
         self.left: set[str] = set()  # given up by their callers: nothing is owed
         self.version = 1
         self.put(
-            m.News(
+            m.ServerListUpdate(
                 1,
                 True,
                 tuple(
-                    m.Located(listed(server, place), f"127.0.0.1:{place + 1}")
+                    m.LocatedServer(listed(server, place), f"127.0.0.1:{place + 1}")
                     for place, server in enumerate(SERVERS)
                 ),
             )
@@ -143,9 +145,9 @@
 
     def ask(self, call: str, caller: FakeCaller) -> None:
         self.at[call] = caller
-        self.put(m.SetUpCame(self.asked[call], caller))
+        self.put(m.SetUpReceived(self.asked[call], caller))
 
-    def words(self, call: str) -> list[list[m.Word]]:
+    def words(self, call: str) -> list[list[m.CallerMessage]]:
         final = (m.Answered, m.Refused, m.Failed)
         return [[w for w in c.heard if w.id == call and isinstance(w, final)] for c in self.callers]
 
@@ -167,7 +169,7 @@
     def repeat_on_its_connection(self, call: str) -> None:
         if self.at[call].open and not any(self.words(call)) and call not in self.left:
             before = self.servers.sent.get(call, 0)
-            self.put(m.SetUpCame(self.asked[call], self.at[call]))
+            self.put(m.SetUpReceived(self.asked[call], self.at[call]))
             assert self.servers.sent.get(call, 0) == before
 
     @rule(call=calls)
@@ -175,15 +177,15 @@
         caller = self.at[call]
         if caller.open:
             caller.open = False
-            if not caller.outlived and not any(self.words(call)):
+            if not caller.calls_outlive_connection and not any(self.words(call)):
                 self.left.add(call)
-            self.put(m.CallerLost(caller))
+            self.put(m.CallerDisconnected(caller))
 
     @rule(call=calls)
     def come_back(self, call: str) -> None:
         caller = self.at[call]
         if (
-            caller.outlived
+            caller.calls_outlive_connection
             and not any(self.words(call))
             and call not in self.left
             and (self.clock.now_ms() < self.asked[call].expires_ms)
@@ -196,7 +198,7 @@
     def give_up(self, call: str) -> None:
         if not any(self.words(call)):
             self.left.add(call)
-        self.put(m.CallerReleased(call, m.NORMAL, self.at[call]))
+        self.put(m.CallerReleased(call, m.CAUSE_NORMAL, self.at[call]))
         assert call not in self.servers.out
 
     @rule(server=st.sampled_from(SERVERS))
@@ -224,10 +226,12 @@
         (self.servers.drains.add if drains else self.servers.drains.discard)(server)
         self.version += 1
         place = SERVERS.index(server)
-        standing = api.Standing.DRAINING if drains else api.Standing.ACTIVE
+        standing = api.ServerStatus.DRAINING if drains else api.ServerStatus.ACTIVE
         self.put(
-            m.News(
-                self.version, False, (m.Located(listed(server, place, standing), f"127.0.0.1:{place + 1}"),)
+            m.ServerListUpdate(
+                self.version,
+                False,
+                (m.LocatedServer(listed(server, place, standing), f"127.0.0.1:{place + 1}"),),
             )
         )
 
@@ -255,11 +259,11 @@
     def server_releases(self, call: str, cause: int) -> None:
         server = self.servers.out.get(call) or self.servers.standing.pop(call, None)
         if server is not None:
-            self.servers.ended(call, cause == m.CUT)
+            self.servers.ended(call, cause == m.CAUSE_INTERRUPTED)
             result = {34: api.Result.FULL, 41: api.Result.RESET, 102: api.Result.NOT_SENT}.get(
                 cause, api.Result.ERROR
             )
-            self.put(m.ServerReleased(server, call, cause, result, api.Why.UNSAID, None))
+            self.put(m.ServerReleased(server, call, cause, result, api.RefusalReason.UNSPECIFIED, None))
 
     @rule(by_ms=st.sampled_from([1.0, 25.0, 199.0, 200.0, 1000.0]))
     def time_passes(self, by_ms: float) -> None:
--- a/tests/test_registry_states.py
+++ b/tests/test_registry_states.py
@@ -15,8 +15,8 @@
 
 from capershelf.config import EurekaRegistry, read
 from capershelf.core.clock import ManualClock, SystemClock
-from capershelf.core.model import News
-from capershelf.interface import Standing
+from capershelf.core.model import ServerListUpdate
+from capershelf.interface import ServerStatus
 from capershelf.net.http import HttpClient, HttpError, parse_head
 from capershelf.node import Node
 from capershelf.registry.board import BACK, Board, read_notices
@@ -26,10 +26,10 @@
 
 CONFIG = EurekaRegistry("http://127.0.0.1:1/eureka", "BOOKING", "PROXY", 1000.0, 5000.0)
 STANDINGS = {
-    "UP": Standing.ACTIVE,
-    "DOWN": Standing.DRAINING,
-    "OUT_OF_SERVICE": Standing.DRAINING,
-    "STARTING": Standing.DRAINING,
+    "UP": ServerStatus.ACTIVE,
+    "DOWN": ServerStatus.DRAINING,
+    "OUT_OF_SERVICE": ServerStatus.DRAINING,
+    "STARTING": ServerStatus.DRAINING,
 }
 
 
@@ -104,7 +104,7 @@
 class EurekaStates(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
-        self.news: list[News] = []
+        self.news: list[ServerListUpdate] = []
         self.sound = False  # no change was lost since the last whole list
         self.stand_in = StandIn()
         self.eureka = Eureka(CONFIG, "p1", "127.0.0.1:5060", ManualClock(), self.news.append)
@@ -143,8 +143,8 @@
         elif self.stand_in.delta_lost and changed:
             self.sound = False
         if self.sound:
-            assert {one.listed.server: one.listed.standing for one in self.news[-1].servers} == expected
-            assert self.news[-1].whole
+            assert {one.listed.server: one.listed.status for one in self.news[-1].servers} == expected
+            assert self.news[-1].complete
 
     @rule()
     def renew(self) -> None:
@@ -172,21 +172,21 @@
 
 
 def test_up_draining_gone_and_back_are_told_by_changes_alone() -> None:
-    news: list[News] = []
+    news: list[ServerListUpdate] = []
     stand_in, eureka = StandIn(), Eureka(CONFIG, "p1", "127.0.0.1:1", ManualClock(), news.append)
     eureka._client = stand_in  # type: ignore[assignment]
     for status in ("UP", "OUT_OF_SERVICE", None, "UP"):
         stand_in.change("BOOKING", "a", status)
         eureka.fetch()
     eureka.fetch()
-    standings = [[one.listed.standing for one in told.servers] for told in news]
-    assert standings == [[Standing.ACTIVE], [Standing.DRAINING], [], [Standing.ACTIVE]]
+    standings = [[one.listed.status for one in told.servers] for told in news]
+    assert standings == [[ServerStatus.ACTIVE], [ServerStatus.DRAINING], [], [ServerStatus.ACTIVE]]
     assert [path for _, path in stand_in.asked] == ["/eureka/apps"] + 4 * ["/eureka/apps/delta"]
 
 
 @pytest.mark.parametrize("answer", [b"{}", b"[]", b'{"applications":[]}', b"x"])
 def test_nonsense_from_eureka_leaves_the_last_list(answer: bytes) -> None:
-    news: list[News] = []
+    news: list[ServerListUpdate] = []
     stand_in, eureka = StandIn(), Eureka(CONFIG, "p1", "127.0.0.1:1", ManualClock(), news.append)
     eureka._client = stand_in  # type: ignore[assignment]
     stand_in.change("BOOKING", "a", "UP")
@@ -251,19 +251,19 @@
         framed(again, how),
         framed(b'{"rev":4,"notices":[]}', how),
     )
-    told: queue.SimpleQueue[News] = queue.SimpleQueue()
+    told: queue.SimpleQueue[ServerListUpdate] = queue.SimpleQueue()
     board = Board(server.endpoint, {"rev": 1, "notices": [notice(1, "up")]}, SystemClock(), told.put)
     thread = threading.Thread(target=board.run, daemon=True)
     thread.start()
     news = [told.get(timeout=20) for _ in range(4)]
     board.end()
-    assert [one.servers[0].listed.standing for one in news] == [
-        Standing.ACTIVE,
-        Standing.DRAINING,
-        Standing.GONE,
-        Standing.ACTIVE,
+    assert [one.servers[0].listed.status for one in news] == [
+        ServerStatus.ACTIVE,
+        ServerStatus.DRAINING,
+        ServerStatus.REMOVED,
+        ServerStatus.ACTIVE,
     ]
-    assert news[0].whole
+    assert news[0].complete
     asked = [server.heads.get(timeout=20) for _ in range(4)]
     polls = [head.split("&")[0].removeprefix("GET /board/poll?") for head in asked]
     assert polls == ["watch=1", "watch=1", "watch=1", "watch=3"]
@@ -305,12 +305,12 @@
         4,
     )
     assert last == 9
-    told = [[(one.listed.server, one.listed.standing, one.endpoint) for one in each.servers] for each in news]
-    assert told[0] == [("a", Standing.ACTIVE, target("a")["endpoint"]), ("d", Standing.DRAINING, "")]
-    assert news[0].whole and news[0].kept == {"b", "c"}
+    told = [[(one.listed.server, one.listed.status, one.endpoint) for one in each.servers] for each in news]
+    assert told[0] == [("a", ServerStatus.ACTIVE, target("a")["endpoint"]), ("d", ServerStatus.DRAINING, "")]
+    assert news[0].complete and news[0].retained == {"b", "c"}
     assert [[one[:2] for one in each] for each in told[1:]] == [
-        [("a", Standing.DRAINING)],
-        [("a", Standing.GONE)],
+        [("a", ServerStatus.DRAINING)],
+        [("a", ServerStatus.REMOVED)],
     ]
 
 
@@ -348,12 +348,12 @@
     new = json.dumps({"rev": 2, "notices": [pool(1, target("a", "draining"), whole=True)]}).encode()
     answers = [*[old] * BACK, new, b'{"rev":2}']
     server = HttpServer(*(framed(answer, "length") for answer in answers))
-    told: queue.SimpleQueue[News] = queue.SimpleQueue()
+    told: queue.SimpleQueue[ServerListUpdate] = queue.SimpleQueue()
     board = Board(server.endpoint, {"rev": 40, "notices": []}, SystemClock(), told.put)
     threading.Thread(target=board.run, daemon=True).start()
     first = told.get(timeout=20)
     board.end()
-    assert first.whole and first.servers[0].listed.standing is Standing.DRAINING
+    assert first.complete and first.servers[0].listed.status is ServerStatus.DRAINING
     polls = [server.heads.get(timeout=20).split("watch=")[1].split("&")[0] for _ in range(BACK + 1)]
     assert polls == ["40"] * BACK + ["0"]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,7 +39,7 @@
 def test_a_settled_outcome_ends_the_call() -> None:
     rig = Rig(servers=1)
     rig.call(1)
-    rig.over(1, "s0", api.Result.TIMEOUT, settled=True)
+    rig.over(1, "s0", api.Result.TIMEOUT, call_finished=True)
     assert not rig.of(api.Refuse)
     assert rig.controller.calls == {}
 
@@ -58,16 +58,16 @@
 def test_the_caller_gone_while_held_out_or_awaiting_release() -> None:
     rig = Rig(servers=0)
     rig.call(1)
-    rig.tell(api.CallerGone(1))
+    rig.tell(api.CallAbandoned(1))
     rig.list_of(listed("s0", 0))
     assert not rig.of(api.Send)
     rig.call(2)
-    rig.tell(api.CallerGone(2))
+    rig.tell(api.CallAbandoned(2))
     assert rig.controller.gates["s0"].outstanding == 0
-    assert rig.over(2, "s0", api.Result.OK, settled=True) == []
+    assert rig.over(2, "s0", api.Result.OK, call_finished=True) == []
     rig.call(3)
     rig.over(3, "s0", api.Result.RESET)
-    rig.tell(api.CallerGone(3))
+    rig.tell(api.CallAbandoned(3))
     rig.tick(400)
     assert not rig.of(api.Send)
     assert rig.controller.calls == {}
@@ -75,13 +75,13 @@
 
 def test_nothing_new_to_a_draining_or_gone_server_and_held_calls_move() -> None:
     rig = Rig(servers=2)
-    rig.list_of(listed("s0", 0, api.Standing.DRAINING), whole=False)
+    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), whole=False)
     rig.call(1)
     assert [send.server for send in rig.of(api.Send)] == ["s1"]
     rig.list_of(listed("s0", 0))
     rig.call(2)
     assert [send.server for send in rig.of(api.Send)] == ["s0"]
-    assert rig.controller.gates["s1"].standing is api.Standing.GONE  # not in the whole list
+    assert rig.controller.gates["s1"].standing is api.ServerStatus.REMOVED  # not in the whole list
     rig.list_of()
     rig.call(3)
     assert not rig.of(api.Send)
@@ -90,8 +90,8 @@
 def test_a_replacement_takes_the_calls_held_for_its_place() -> None:
     """In this gateway's turn: it is cold, and may be sent about 46 set-ups in 3 s by all four together."""
     rig = Rig(servers=1)
-    rig.tell(api.ServerReport("s0", api.Result.OK, api.Report(10.0, 10.0, None, 50.0), False))
-    rig.list_of(listed("s0", 0, api.Standing.DRAINING), whole=False)
+    rig.tell(api.ServerReport("s0", api.Result.OK, api.LoadReport(10.0, 10.0, None, 50.0), False))
+    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), whole=False)
     rig.call(1)
     assert not rig.of(api.Send)
     rig.list_of(listed("n0", 0, started_ms=rig.now_ms), whole=False)
@@ -111,7 +111,7 @@
 
 def test_a_server_back_under_its_id_is_cold_again() -> None:
     rig = Rig(servers=1)
-    rig.list_of(listed("s0", 0, api.Standing.GONE), whole=False)
+    rig.list_of(listed("s0", 0, api.ServerStatus.REMOVED), whole=False)
     rig.list_of(listed("s0", 0), whole=False)
     assert rig.controller.gates["s0"].started_ms == rig.now_ms
 
@@ -119,10 +119,10 @@
 def test_an_older_list_and_unknown_ids_are_taken_in_silence() -> None:
     rig = Rig(servers=1)
     rig.tell(api.ServerList(0, True, ()))
-    assert rig.controller.gates["s0"].standing is api.Standing.ACTIVE
-    assert rig.tell(api.Stands(5, 0, "s0", 3.0)) == []
-    assert rig.tell(api.CallerGone(5)) == []
-    assert rig.tell(api.AttemptOver(5, 0, "nowhere", api.Result.TIMEOUT, False)) == []
+    assert rig.controller.gates["s0"].standing is api.ServerStatus.ACTIVE
+    assert rig.tell(api.AttemptSucceeded(5, 0, "s0", 3.0)) == []
+    assert rig.tell(api.CallAbandoned(5)) == []
+    assert rig.tell(api.AttemptEnded(5, 0, "nowhere", api.Result.TIMEOUT, False)) == []
     assert rig.tell(api.TimerFired("what")) == []
 
 
@@ -182,7 +182,7 @@
         self.out: dict[int, tuple[int, str, float]] = {}
         self.free_at: dict[int, float] = {}
         self.tries: dict[int, int] = {}
-        self.standing = dict.fromkeys(("s0", "s1", "s2"), api.Standing.ACTIVE)
+        self.standing = dict.fromkeys(("s0", "s1", "s2"), api.ServerStatus.ACTIVE)
         self.cold: dict[str, float] = {}
         self.cold_sends: dict[str, list[float]] = {}
         self.number = 0
@@ -194,7 +194,7 @@
                 call, server = action.call, action.server
                 assert call in self.owed  # rule 1: nothing after the answer
                 assert call not in self.out  # rule 2
-                assert self.standing[server] is api.Standing.ACTIVE  # rule 3
+                assert self.standing[server] is api.ServerStatus.ACTIVE  # rule 3
                 assert now_ms >= self.free_at.get(call, 0.0)  # rule 5
                 if now_ms - self.cold.get(server, -1e9) < 12000:
                     window = [at for at in self.cold_sends[server] if at > now_ms - 3000] + [now_ms]
@@ -214,11 +214,13 @@
         kind = "dear" if pick % 5 == 0 else "usual"
         self.check(self.rig.call(self.number, kind, pick % 4, 200 + pick % 4000, number=f"n{pick % 7}"))
 
-    def finish(self, call: int, result: api.Result, why: api.Why = api.Why.UNSAID) -> None:
+    def finish(
+        self, call: int, result: api.Result, why: api.RefusalReason = api.RefusalReason.UNSPECIFIED
+    ) -> None:
         attempt, server, _ = self.out.pop(call)
         if result in (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED):
             self.free_at[call] = self.rig.now_ms + 300
-        self.check(self.rig.tell(api.AttemptOver(call, attempt, server, result, call not in self.owed, why)))
+        self.check(self.rig.tell(api.AttemptEnded(call, attempt, server, result, call not in self.owed, why)))
 
     def end(self, pick: int) -> None:
         if not self.out:
@@ -228,9 +230,9 @@
         if result is api.Result.OK and call in self.owed:
             attempt, server, _ = self.out.pop(call)
             del self.owed[call]
-            self.check(self.rig.tell(api.Stands(call, attempt, server, float(pick % 900))))
+            self.check(self.rig.tell(api.AttemptSucceeded(call, attempt, server, float(pick % 900))))
             return
-        self.finish(call, result, list(api.Why)[pick // 3 % 4])
+        self.finish(call, result, list(api.RefusalReason)[pick // 3 % 4])
 
     def tick(self, pick: int) -> None:
         self.rig.now_ms += 5 + pick % 20
@@ -240,9 +242,9 @@
 
     def list(self, pick: int) -> None:
         server = f"s{pick % 3}"
-        standing = list(api.Standing)[pick // 3 % 3]
+        standing = list(api.ServerStatus)[pick // 3 % 3]
         started_ms = None
-        if standing is api.Standing.ACTIVE and self.standing[server] is not api.Standing.ACTIVE:
+        if standing is api.ServerStatus.ACTIVE and self.standing[server] is not api.ServerStatus.ACTIVE:
             started_ms = self.cold[server] = self.rig.now_ms
             self.cold_sends[server] = []
         elif server in self.cold:
@@ -254,7 +256,7 @@
         if self.owed:
             call = sorted(self.owed)[pick % len(self.owed)]
             del self.owed[call]
-            self.check(self.rig.tell(api.CallerGone(call)))
+            self.check(self.rig.tell(api.CallAbandoned(call)))
 
 
 def test_a_flood_of_held_calls_is_still_answered_in_time() -> None:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -31,21 +31,25 @@
 SETTINGS = settings(release_ms=200.0)
 
 
-def planner_with(standing: api.Standing = api.Standing.ACTIVE) -> tuple[Planner, FakeServers, ManualClock]:
+def planner_with(
+    standing: api.ServerStatus = api.ServerStatus.ACTIVE,
+) -> tuple[Planner, FakeServers, ManualClock]:
     clock = ManualClock()
     planner = Planner(SETTINGS, 1, clock, 500.0)
     planner.servers = servers = FakeServers(clock)
     planner.tell(news(1, "s0", standing))
-    planner.tell(news(2, "s1", api.Standing.ACTIVE))
+    planner.tell(news(2, "s1", api.ServerStatus.ACTIVE))
     for server in ("s0", "s1"):
         planner.inbox.put(m.LinkUp(server, 1))
     go_on(planner)
     return planner, servers, clock
 
 
-def news(version: int, server: str, standing: api.Standing) -> m.News:
+def news(version: int, server: str, standing: api.ServerStatus) -> m.ServerListUpdate:
     place = int(server[1:])
-    return m.News(version, False, (m.Located(listed(server, place, standing), f"127.0.0.1:{place + 1}"),))
+    return m.ServerListUpdate(
+        version, False, (m.LocatedServer(listed(server, place, standing), f"127.0.0.1:{place + 1}"),)
+    )
 
 
 def go_on(planner: Planner) -> None:
@@ -60,9 +64,9 @@
 def test_news_of_a_drain_goes_before_the_set_ups_that_wait_for_a_late_planner() -> None:
     planner, servers, _ = planner_with()
     for number in range(1, 4):
-        planner.inbox.put(m.SetUpCame(request(number), FakeCaller(False)))
+        planner.inbox.put(m.SetUpReceived(request(number), FakeCaller(False)))
     servers.drains.add("s0")  # from here on the stand-in takes a set-up there for a broken rule
-    planner.tell(news(3, "s0", api.Standing.DRAINING))
+    planner.tell(news(3, "s0", api.ServerStatus.DRAINING))
     go_on(planner)
     assert set(servers.out.values()) == {"s1"}
 
@@ -70,11 +74,11 @@
 def test_a_set_up_that_waits_for_its_link_does_not_go_to_a_server_that_drains_meanwhile() -> None:
     planner, servers, _ = planner_with()
     planner.inbox.put(m.LinkDown("s0", 1))
-    planner.inbox.put(m.SetUpCame(request(1), FakeCaller(False)))
+    planner.inbox.put(m.SetUpReceived(request(1), FakeCaller(False)))
     go_on(planner)
     assert not servers.out
     servers.drains.add("s0")
-    planner.tell(news(3, "s0", api.Standing.DRAINING))
+    planner.tell(news(3, "s0", api.ServerStatus.DRAINING))
     planner.inbox.put(m.LinkUp("s0", 2))
     go_on(planner)
     assert list(servers.out.values()) == ["s1"]
@@ -87,9 +91,11 @@
     planner.inbox.put(m.Stop(clock.now_ms() + 9000.0, clock.now_ms() + 3000.0))
     go_on(planner)
     assert not planner.finished()
-    planner.inbox.put(m.SetUpCame(request(1), caller))
+    planner.inbox.put(m.SetUpReceived(request(1), caller))
     go_on(planner)
-    planner.inbox.put(m.ServerReleased("s0", request(1).id, 17, api.Result.ERROR, api.Why.NUMBER_BUSY, None))
+    planner.inbox.put(
+        m.ServerReleased("s0", request(1).id, 17, api.Result.ERROR, api.RefusalReason.NUMBER_BUSY, None)
+    )
     go_on(planner)
     assert [type(word) for word in caller.heard] == [m.Failed]
     owed = 0
@@ -99,7 +105,7 @@
 def test_whoever_still_waits_is_given_an_outcome_before_the_platform_kills() -> None:
     planner, _, clock = planner_with()
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpCame(request(1), caller))
+    planner.inbox.put(m.SetUpReceived(request(1), caller))
     planner.inbox.put(m.Stop(clock.now_ms() + 9000.0, clock.now_ms() + 300.0))
     go_on(planner)
     clock.advance(299.0)
@@ -175,14 +181,16 @@
     door.listener.start()
     caller = door.caller()
     door.set_up(caller, "00000000000000a1")
-    while not isinstance(came := door.put.get(timeout=PATIENCE_S), m.SetUpCame):
+    while not isinstance(came := door.put.get(timeout=PATIENCE_S), m.SetUpReceived):
         pass
     door.house.close()
     assert door.house.owed == 1
     door.set_up(caller, "00000000000000a2")
     assert caller.hear()["id"] == "00000000000000a2"
-    came.caller.tell(m.Refused(came.request.id))
-    assert isinstance(door.put.get(timeout=PATIENCE_S), m.Reached), "the planner that waits for it is woken"
+    came.caller.notify(m.Refused(came.request.id))
+    assert isinstance(door.put.get(timeout=PATIENCE_S), m.InboxBarrier), (
+        "the planner that waits for it is woken"
+    )
     assert door.house.owed == 0
     door.listener.stop_accepting()
     door.listener.close_all()
@@ -253,11 +261,11 @@
     planner, servers, clock = planner_with()
     fresh = False
     planner.list_gate.fresh = lambda: fresh
-    planner.inbox.put(m.SetUpCame(request(1), FakeCaller(False)))
+    planner.inbox.put(m.SetUpReceived(request(1), FakeCaller(False)))
     go_on(planner)
     assert not servers.out
     servers.drains.add("s0")  # told while the process stood still, and read only now
-    planner.tell(news(3, "s0", api.Standing.DRAINING))
+    planner.tell(news(3, "s0", api.ServerStatus.DRAINING))
     fresh = True
     clock.advance(5.0)
     go_on(planner)
@@ -271,7 +279,7 @@
     def fresh() -> bool:  # the registry's thread tells it at this very moment
         if len(told) < 1:
             told.append(1)
-            planner.tell(news(3, "s0", api.Standing.DRAINING))
+            planner.tell(news(3, "s0", api.ServerStatus.DRAINING))
         return True
 
     told: list[int] = []
@@ -283,7 +291,7 @@
 
     planner.list_gate.fresh = counted
     for number in range(1, 9):  # in one event: the last of them finds seven others that wait
-        planner.inbox.put(m.SetUpCame(request(number), FakeCaller(False)))
+        planner.inbox.put(m.SetUpReceived(request(number), FakeCaller(False)))
     planner.step()
     assert not servers.out
     for _ in range(8):
@@ -296,13 +304,13 @@
 def test_a_list_that_stays_away_holds_set_ups_for_a_moment_only_and_not_each_of_them() -> None:
     planner, servers, clock = planner_with()
     planner.list_gate.fresh = lambda: False
-    planner.inbox.put(m.SetUpCame(request(1), FakeCaller(False)))
+    planner.inbox.put(m.SetUpReceived(request(1), FakeCaller(False)))
     go_on(planner)
     for _ in range(61):
         clock.advance(5.0)
         go_on(planner)
     assert len(servers.out) == 1
-    planner.inbox.put(m.SetUpCame(request(2), FakeCaller(False)))
+    planner.inbox.put(m.SetUpReceived(request(2), FakeCaller(False)))
     go_on(planner)
     assert len(servers.out) == 2
 
@@ -311,17 +319,17 @@
     planner, servers, clock = planner_with()
     callers = [FakeCaller(False), FakeCaller(False)]
     for number, caller in enumerate(callers, 1):
-        planner.inbox.put(m.SetUpCame(request(number), caller))
+        planner.inbox.put(m.SetUpReceived(request(number), caller))
         go_on(planner)
         assert servers.out[request(number).id] == "s0"
         planner.inbox.put(m.ServerAnswered("s0", request(number).id, "sdp", None))
         go_on(planner)
         clock.advance(1000.0)
     # Its machine was cut off and is back: no connect was refused, and the new process knows of neither.
-    again = m.Located(listed("s0", 0, api.Standing.ACTIVE, 1_000_500.0), "127.0.0.1:1")
-    planner.tell(m.News(3, False, (again,)))
+    again = m.LocatedServer(listed("s0", 0, api.ServerStatus.ACTIVE, 1_000_500.0), "127.0.0.1:1")
+    planner.tell(m.ServerListUpdate(3, False, (again,)))
     go_on(planner)
-    assert callers[0].heard[1:] == [m.Ended(request(1).id, m.CUT)]
+    assert callers[0].heard[1:] == [m.Ended(request(1).id, m.CAUSE_INTERRUPTED)]
     assert not callers[1].heard[1:]
 
 
--- a/tests/test_stream_decisions.py
+++ b/tests/test_stream_decisions.py
@@ -288,7 +288,7 @@
         **{name: getattr(rig.controller.settings, name) for name in api.Settings.__dataclass_fields__}
         | {"classes": kinds, "max_attempts": 3, "tenants": (api.Tenant("t", 5.0),)}
     )
-    rig.tell(api.NewSettings(new))
+    rig.tell(api.SettingsChanged(new))
     assert rig.controller.calls[2].kind is before
     assert rig.controller.gates["s0"].base_ms == 40.0
     assert rig.controller.limit_ms == pytest.approx(0.35 * 700)
