--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -11,8 +11,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
-from capershelf.core.model import Located
-from capershelf.interface import ListedServer, Standing
+from capershelf.core.model import LocatedServer
+from capershelf.interface import ListedServer, ServerStatus
 from capershelf.subset import Membership, SubsetSizeError, Update
 from capershelf.subset.membership import RETURN_MS
 from capershelf.subset.selection import Candidate, fixed_order, share
@@ -114,12 +114,12 @@
 def located(
     server: str,
     zone: str = "z0",
-    standing: Standing = Standing.ACTIVE,
+    standing: ServerStatus = ServerStatus.ACTIVE,
     started_ms: float | None = None,
     service: str = "",
     place: int = 0,
-) -> Located:
-    return Located(ListedServer(server, place, standing, started_ms), f"{server}:1", zone, service)
+) -> LocatedServer:
+    return LocatedServer(ListedServer(server, place, standing, started_ms), f"{server}:1", zone, service)
 
 
 class Host:
@@ -127,20 +127,20 @@
 
     def __init__(self, membership: Membership) -> None:
         self.membership, self.now_ms = membership, 0.0
-        self.standing: dict[str, Standing] = {}
+        self.standing: dict[str, ServerStatus] = {}
         self.unavailable: set[str] = set()
         self.busy: set[str] = set()
 
     def take(self, update: Update) -> Update:
         for one in update.servers:
-            if one.listed.standing is Standing.GONE:
+            if one.listed.status is ServerStatus.REMOVED:
                 assert self.standing.pop(one.listed.server, None) is not None, "gone, and never told of"
             else:
-                self.standing[one.listed.server] = one.listed.standing
+                self.standing[one.listed.server] = one.listed.status
         return update
 
-    def list(self, *servers: Located, whole: bool = False) -> Update:
-        return self.take(self.membership.take_list(self.now_ms, servers, frozenset() if whole else None))
+    def list(self, *servers: LocatedServer, whole: bool = False) -> Update:
+        return self.take(self.membership.update_list(self.now_ms, servers, frozenset() if whole else None))
 
     def review(self, after_ms: float = 100.0) -> Update:
         self.now_ms += after_ms
@@ -152,7 +152,7 @@
 
     @property
     def active(self) -> set[str]:
-        return {server for server, standing in self.standing.items() if standing is Standing.ACTIVE}
+        return {server for server, standing in self.standing.items() if standing is ServerStatus.ACTIVE}
 
 
 def host(servers: int = 24, size: int = 6, **more: float) -> Host:
@@ -165,8 +165,8 @@
 def test_a_drained_members_place_is_taken_at_once() -> None:
     fleet = host()
     drained = sorted(fleet.active)[0]
-    update = fleet.list(located(drained, standing=Standing.DRAINING))
-    assert fleet.standing[drained] is Standing.DRAINING
+    update = fleet.list(located(drained, standing=ServerStatus.DRAINING))
+    assert fleet.standing[drained] is ServerStatus.DRAINING
     assert len(fleet.active) == 6
     assert len(update.urgent) == 1 and set(update.urgent) <= fleet.active
 
@@ -174,7 +174,7 @@
 def test_all_members_drained_in_one_event_are_all_replaced() -> None:
     fleet = host()
     before = set(fleet.active)
-    fleet.list(*(located(server, standing=Standing.DRAINING) for server in before))
+    fleet.list(*(located(server, standing=ServerStatus.DRAINING) for server in before))
     assert len(fleet.active) == 6 and not fleet.active & before
 
 
@@ -192,7 +192,7 @@
     assert substitute in fleet.active
     fleet.busy.add(substitute)
     fleet.review(RETURN_MS)
-    assert fleet.standing[substitute] is Standing.DRAINING, "calls stand there and end as they would"
+    assert fleet.standing[substitute] is ServerStatus.DRAINING, "calls stand there and end as they would"
     fleet.review()
     assert substitute in fleet.standing
     fleet.busy.clear()
@@ -292,15 +292,15 @@
     def begin(self, size: int) -> None:
         self.size = size
         self.host = Host(Membership(7, size, RAMP_MS))
-        self.listed: dict[str, Standing] = {}
+        self.listed: dict[str, ServerStatus] = {}
 
     servers = st.sampled_from([f"s{number}" for number in range(16)])
 
-    @rule(server=servers, standing=st.sampled_from(list(Standing)))
-    def change(self, server: str, standing: Standing) -> None:
+    @rule(server=servers, standing=st.sampled_from(list(ServerStatus)))
+    def change(self, server: str, standing: ServerStatus) -> None:
         zone = f"z{int(server[1:]) % 3}"
         self.host.list(located(server, zone, standing))
-        if standing is Standing.GONE:
+        if standing is ServerStatus.REMOVED:
             self.listed.pop(server, None)
         else:
             self.listed[server] = standing
@@ -308,7 +308,7 @@
     @rule(named=st.sets(servers))
     def whole(self, named: set[str]) -> None:
         self.host.list(*(located(one, f"z{int(one[1:]) % 3}") for one in sorted(named)), whole=True)
-        self.listed = dict.fromkeys(named, Standing.ACTIVE)
+        self.listed = dict.fromkeys(named, ServerStatus.ACTIVE)
 
     @rule(unavailable=st.sets(servers), busy=st.sets(servers), after_ms=st.sampled_from([100.0, 6000.0]))
     def review(self, unavailable: set[str], busy: set[str], after_ms: float) -> None:
@@ -320,7 +320,7 @@
         """With nothing else happening the subset has as many usable servers as there are, up to its size."""
         for _ in range(60):
             self.host.review(1000.0)
-        active = {server for server, standing in self.listed.items() if standing is Standing.ACTIVE}
+        active = {server for server, standing in self.listed.items() if standing is ServerStatus.ACTIVE}
         usable = active - self.host.unavailable
         assert len(self.host.active & usable) >= min(self.size, len(usable))
         if not self.host.unavailable & active:
@@ -330,8 +330,8 @@
     def the_host_has_only_what_is_listed(self) -> None:
         for server, standing in getattr(self, "host", Host(Membership(0, 4, 0.0))).standing.items():
             assert server in self.listed
-            if standing is Standing.ACTIVE:
-                assert self.listed[server] is Standing.ACTIVE
+            if standing is ServerStatus.ACTIVE:
+                assert self.listed[server] is ServerStatus.ACTIVE
 
 
 def test_members_follow_the_list_whatever_happens() -> None:
--- a/tests/test_subset_cold.py
+++ b/tests/test_subset_cold.py
@@ -9,7 +9,7 @@
 
 from capershelf import interface as api
 from capershelf.control import Controller
-from capershelf.core.model import Located
+from capershelf.core.model import LocatedServer
 from capershelf.subset import Membership
 from tests.rig import listed, settings
 from tests.test_cold import allowed, most_in_a_window
@@ -19,8 +19,8 @@
 CALLS_EACH_MS = 60.0
 
 
-def entry(name: str, place: int, started_ms: float | None = None) -> Located:
-    return Located(listed(name, place, started_ms=started_ms), f"{name}:1", f"z{place % 3}")
+def entry(name: str, place: int, started_ms: float | None = None) -> LocatedServer:
+    return LocatedServer(listed(name, place, started_ms=started_ms), f"{name}:1", f"z{place % 3}")
 
 
 class Gateway:
@@ -42,8 +42,8 @@
         self.version = 0
         self.take(now_ms, [entry(f"s{place}", place) for place in range(servers)], frozenset())
 
-    def take(self, now_ms: float, servers: list[Located], kept: frozenset[str] | None) -> None:
-        update = self.membership.take_list(now_ms, servers, kept)
+    def take(self, now_ms: float, servers: list[LocatedServer], kept: frozenset[str] | None) -> None:
+        update = self.membership.update_list(now_ms, servers, kept)
         self.version += 1
         told = tuple(one.listed for one in update.servers)
         self.controller.handle(now_ms, api.ServerList(self.version, False, told))
@@ -61,7 +61,7 @@
     def tell_of_warm(self) -> None:
         for one in self.gateways:
             for server in one.membership.members:
-                report = api.Report(80.0, 100.0, None, self.per_s * self.random.uniform(0.88, 1.12))
+                report = api.LoadReport(80.0, 100.0, None, self.per_s * self.random.uniform(0.88, 1.12))
                 one.controller.handle(self.now_ms, api.ServerReport(server, api.Result.OK, report, False))
 
     def start_new(self, late_list: bool) -> int:
@@ -70,7 +70,8 @@
             change = [entry(NEW, NEW_PLACE, self.now_ms)]
             if late_list and number % 2:
                 change += [
-                    Located(listed(f"s{place}", place, api.Standing.DRAINING), "") for place in range(4)
+                    LocatedServer(listed(f"s{place}", place, api.ServerStatus.DRAINING), "")
+                    for place in range(4)
                 ]
             one.take(self.now_ms, change, None)
         return sum(NEW in one.membership.members for one in self.gateways)
@@ -91,7 +92,9 @@
                     if isinstance(action, api.Send):
                         if action.server == NEW:
                             self.sent.append(self.now_ms)
-                        one.controller.handle(self.now_ms, api.Stands(action.call, 0, action.server, 20.0))
+                        one.controller.handle(
+                            self.now_ms, api.AttemptSucceeded(action.call, 0, action.server, 20.0)
+                        )
 
 
 @pytest.mark.parametrize(("proxies", "servers", "per_s"), [(30, 12, 20.0), (60, 30, 10.0), (60, 30, 40.0)])
@@ -127,7 +130,7 @@
     update = one.membership.review(fleet.now_ms, lambda server: server == lost, lambda server: True)
     (substitute,) = update.servers
     one.take(fleet.now_ms, [], None)
-    name, place = substitute.listed.server, substitute.listed.place
+    name, place = substitute.listed.server, substitute.listed.pool
     one.controller.handle(fleet.now_ms, api.ServerList(9, False, (substitute.listed,)))
     one.version = 9
     fleet.now_ms += 100.0
@@ -141,4 +144,4 @@
         for action in actions:
             if isinstance(action, api.Send):
                 assert action.server != name
-                one.controller.handle(fleet.now_ms, api.Stands(action.call, 0, action.server, 20.0))
+                one.controller.handle(fleet.now_ms, api.AttemptSucceeded(action.call, 0, action.server, 20.0))
--- a/tests/test_subset_running.py
+++ b/tests/test_subset_running.py
@@ -119,8 +119,8 @@
             self.up(server)
 
     @staticmethod
-    def entry(number: int, standing: api.Standing = api.Standing.ACTIVE) -> m.Located:
-        return m.Located(
+    def entry(number: int, standing: api.ServerStatus = api.ServerStatus.ACTIVE) -> m.LocatedServer:
+        return m.LocatedServer(
             listed(f"s{number}", number, standing), f"127.0.0.1:{7000 + number}", f"z{number % 3}"
         )
 
@@ -128,9 +128,9 @@
     def members(self) -> list[str]:
         return sorted(one.id for one in self.planner._known.values() if not one.draining)
 
-    def list(self, *servers: m.Located, whole: bool = False) -> None:
+    def list(self, *servers: m.LocatedServer, whole: bool = False) -> None:
         self.version += 1
-        self.planner.tell(m.News(self.version, whole, servers))
+        self.planner.tell(m.ServerListUpdate(self.version, whole, servers))
         self.settle()
 
     def settle(self) -> None:
@@ -148,12 +148,12 @@
     def advance(self, by_ms: float) -> None:
         for _ in range(round(by_ms / 25.0)):
             self.clock.advance(25.0)
-            self.put(m.Reached(lambda: None))
+            self.put(m.InboxBarrier(lambda: None))
 
     def call(self, number: int, far_end: int) -> FakeCaller:
         caller = FakeCaller(False)
         asked = m.SetUp(f"{number:016x}", "usual", self.clock.now_ms() + 3000.0, f"n{number}", "sdp", far_end)
-        self.put(m.SetUpCame(asked, caller))
+        self.put(m.SetUpReceived(asked, caller))
         return caller
 
 
@@ -174,7 +174,7 @@
     rig = Rig()
     drained = rig.members[0]
     rig.servers.drains.add(drained)
-    rig.list(rig.entry(int(drained[1:]), api.Standing.DRAINING))
+    rig.list(rig.entry(int(drained[1:]), api.ServerStatus.DRAINING))
     (substitute,) = set(rig.members) - {drained} - {"s"} - set(Rig().members)
     rig.up(substitute)
     for number in range(1, 30):
@@ -205,7 +205,11 @@
     assert set(rig.members) == before
     rig.advance(3000.0)
     assert [type(word) for word in caller.heard] == [m.Answered], "and the call stands on"
-    rig.put(m.ServerReleased(substitute, f"{1:016x}", m.NORMAL, api.Result.ERROR, api.Why.UNSAID, None))
+    rig.put(
+        m.ServerReleased(
+            substitute, f"{1:016x}", m.CAUSE_NORMAL, api.Result.ERROR, api.RefusalReason.UNSPECIFIED, None
+        )
+    )
     assert [type(word) for word in caller.heard] == [m.Answered, m.Ended]
     rig.advance(2000.0)
     assert substitute not in rig.planner._known, "no link is held for it"
@@ -245,7 +249,7 @@
         logger.remove(sink)
     assert lines.qsize() == 5
     membership = Membership(3, 20, 14_000.0)
-    update = membership.take_list(0.0, news.servers, news.kept)
+    update = membership.update_list(0.0, news.servers, news.retained)
     assert len(news.servers) == 1100 - 4 and len(update.servers) == 20
     names = [one.listed.server for one in news.servers]
     assert len(set(names)) == len(names)
@@ -254,7 +258,7 @@
 
 def test_places_are_those_of_all_classes_or_any() -> None:
     def kind(places: tuple[int, ...] | None) -> api.CallClass:
-        return api.CallClass("a", 1.0, 2.0, places=None if places is None else frozenset(places))
+        return api.CallClass("a", 1.0, 2.0, pools=None if places is None else frozenset(places))
 
     assert places_of(settings(classes=(kind((0, 1)), kind((1, 2))))) == frozenset({0, 1, 2})
     assert places_of(settings(classes=(kind((0, 1)), kind(None)))) is None
