--- a/tests/test_caller_states.py
+++ b/tests/test_caller_states.py
@@ -304,7 +304,7 @@
     came = events.get(timeout=PATIENCE_S)
     assert came.request.id == "b" * 16
     assert heard_to_the_end(connect()) == b"", "no room: both others have a call"
-    came.caller.tell(m.Failed("b" * 16))
+    came.caller.notify(m.Failed("b" * 16))
     assert json.loads(second.recv(4096))["cause"] == 17
     third = connect()
     assert heard_to_the_end(second) == b""
--- a/tests/test_memory_decisions.py
+++ b/tests/test_memory_decisions.py
@@ -219,7 +219,7 @@
     assert [len(one.servers) for one in kept.handed] == [1, 2]
     assert kept.handed[0].servers["s0"].rate_per_s == 20.0
     assert kept.handed[1].servers["s0"].rate_per_s == 90.0
-    kept.learn("s1", NOW_MS + 5 * HAND_OVER_MS, silent=True)
+    kept.learn("s1", NOW_MS + 5 * HAND_OVER_MS, ejected=True)
     assert len(kept.handed) == 2
     kept.keeper.collect(kept.door, NOW_MS + 5 * HAND_OVER_MS, True)
     assert kept.handed[2].servers["s1"].silent
