--- a/tests/test_caller_states.py
+++ b/tests/test_caller_states.py
@@ -9,6 +9,7 @@
 
 import hypothesis.strategies as st
 import pytest
+from hypothesis import seed
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, consumes, invariant, precondition, rule
 
@@ -80,6 +81,8 @@
     return json.dumps(message).encode()
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0x1ADBB5BA603ECF70C634C52151B1D9DB6725E654C37906067E5E30E03EF8E6E4CBC77A78C197CDF416CAD135B21E81D3)
 class Caller(RuleBasedStateMachine):
     calls: Bundle[str] = Bundle("calls")
     standing: Bundle[str] = Bundle("standing")
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -7,7 +7,7 @@
 
 import hypothesis.strategies as st
 import pytest
-from hypothesis import given
+from hypothesis import given, seed
 from hypothesis import settings as hypothesis_settings
 
 from capershelf import interface as api
@@ -34,6 +34,8 @@
     return budget + 2.0 * math.sqrt(budget) + 2.0
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0x4637435EC0AA8054D53D0D8E10EC925C2F2B59B212B4FCE0850EFDE66B104E66515B974B4EE2450567B243871C558B61)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=60, database=None)
 @given(
     count=st.integers(1, 300),
--- a/tests/test_framing_states.py
+++ b/tests/test_framing_states.py
@@ -7,7 +7,7 @@
 
 import hypothesis.strategies as st
 import pytest
-from hypothesis import given
+from hypothesis import given, seed
 from hypothesis import settings as hypothesis_settings
 
 from capershelf.net import websocket as ws
@@ -86,6 +86,8 @@
     return client, server
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0x678D0246173C279F58EEF7D3AF83EC02155CCA8FEF57941B1E501AD3B10BE36683BEC501C69A39375E9C42243611FA2B)
 @STEADY
 @given(
     st.booleans(),
@@ -128,6 +130,7 @@
     assert POOL.out == taken, "a buffer was not given back, or twice"
 
 
+@seed(0xA2E6398B845B14CDC24CDDA5FEBD2ED9A749935FCF33382FF542ED12EB9149E245BC14ADEFF1F936CDF4FF5327C1A79F)
 @STEADY
 @given(
     st.lists(TEXTS.map(lambda text: text.replace("\n", " ")), max_size=6),
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -6,7 +6,7 @@
 import weakref
 
 import hypothesis.strategies as st
-from hypothesis import given
+from hypothesis import given, seed
 from hypothesis import settings as hypothesis_settings
 
 from capershelf import interface as api
@@ -108,6 +108,8 @@
         )
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0x6D02EED7FBE05450DAC58547C50FEC1075B07AF54301FA5D1239B5BD550829C1E2A95B65727AC9C795460563FF79562D)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=8, database=None)
 @given(
     st.lists(st.lists(st.sampled_from(ENDS), min_size=1, max_size=8), min_size=2, max_size=5), st.booleans()
--- a/tests/test_memory_decisions.py
+++ b/tests/test_memory_decisions.py
@@ -10,7 +10,7 @@
 import hypothesis.strategies as st
 import msgspec
 import pytest
-from hypothesis import given
+from hypothesis import given, seed
 from hypothesis import settings as hypothesis_settings
 
 from capershelf import interface as api
@@ -59,6 +59,8 @@
         assert known.silent is silent
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0xECB7997A347150F4FB27D3DAADF591145A18D2B3563BC0FA85ADD05E65C197BB206B90E985262CB3F83E5A4697EF26A3)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=300, database=None)
 @given(st.floats(0, 8 * DAY_MS), st.floats(0, 8 * DAY_MS), st.floats(0.01, 4.0))
 def test_what_is_older_never_claims_more(one_ms: float, other_ms: float, part: float) -> None:
@@ -305,6 +307,7 @@
 )
 
 
+@seed(0x39CA349D07431EC9380653567D87CA843F2CABB8A0CD6EC031465F80FA20EA9C66882CDDF572EE5FDBF8804C2CD94CF2)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=40, database=None)
 @given(FIGURES, st.floats(0, 1e4), st.lists(st.integers(1, 60), min_size=30, max_size=60))
 def test_no_memory_of_any_kind_raises_the_cold_budget(
--- a/tests/test_memory_file.py
+++ b/tests/test_memory_file.py
@@ -12,6 +12,7 @@
 import msgspec
 import pytest
 from hypothesis import given
+from hypothesis import seed as use_seed
 from hypothesis import settings as hypothesis_settings
 
 from capershelf.memory.disk import BusyError, Folder
@@ -24,6 +25,8 @@
 KEY, OTHER_KEY = bytes(range(32)), bytes(32)
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@use_seed(0x3AEEBCFCB46B6B88D0CCF81D0E234BA906DA344AE40929BBE922C3954C89D7FD5B482CCFEE1D3ACDCDB0BBC8F2B05F79)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400, database=None)
 @given(
     steps=st.integers(0, 60),
@@ -117,6 +120,7 @@
         decode(data + b"\0", key)
 
 
+@use_seed(0xC1121CF96615BC947EE44E873E2051394231DD0B869ABE5876157E60542F11C73DFB6462232FC486ED9BEEA91821AF5F)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=300, database=None)
 @given(body=st.binary(max_size=200), number=st.integers(0, 5))
 def test_whatever_lies_under_a_good_digest_is_a_book_or_a_plain_no(body: bytes, number: int) -> None:
--- a/tests/test_planner_states.py
+++ b/tests/test_planner_states.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 import hypothesis.strategies as st
+from hypothesis import seed
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, multiple, rule
 
@@ -107,6 +108,8 @@
     def probe(self, server: str, epoch: int, token: str) -> None: ...
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0x4DC344AF04C4AF0CA69D6351A00E9C822FD18078713162BF064D6960C6DED2E467FBF8F0C1028C3F6D8A9B5AAAFB40D5)
 class Calls(RuleBasedStateMachine):
     calls: Bundle[str] = Bundle("calls")
 
--- a/tests/test_registry_states.py
+++ b/tests/test_registry_states.py
@@ -10,6 +10,7 @@
 
 import hypothesis.strategies as st
 import pytest
+from hypothesis import seed
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
@@ -101,6 +102,8 @@
     def close(self) -> None: ...
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0xEBA0B0325D1F687E007B1342F8D790C8221D64ED4E9B68DFFFA05FD8F9888D395E43A1920349CF69E5D337CCC65F36E8)
 class EurekaStates(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 import math
 
 import pytest
-from hypothesis import given, settings
+from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
 from capershelf import control
@@ -161,6 +161,8 @@
 )
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0x58A889FD3AFB00BF5D2865B77C7E9D6D9E85FF2D4F4F3C385AC696DBE5E23888EFC0F7126023EABD8F86F6BA4466BFCF)
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(STEPS)
 def test_the_rules_hold_under_any_legal_order_of_events(steps: list[tuple[str, int]]) -> None:
--- a/tests/test_stream_decisions.py
+++ b/tests/test_stream_decisions.py
@@ -10,7 +10,7 @@
 import hypothesis.strategies as st
 import pytest
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
-from hypothesis import given
+from hypothesis import given, seed
 from hypothesis import settings as hypothesis_settings
 
 from capershelf import interface as api
@@ -105,6 +105,8 @@
 )
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0x37446C6F35216B0686E8523FF8663F14B9D8DCBA5A8751ED5FFA1ACAED87BBA6DBC8D77D8FA0D06108D7086F7DE7E814)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400, database=None)
 @given(JSON)
 def test_no_document_of_any_shape_makes_the_checker_or_the_planning_raise(found: Any) -> None:
@@ -159,6 +161,7 @@
 DOCUMENTS = st.dictionaries(st.text(max_size=2), PLAIN, max_size=5)
 
 
+@seed(0x2FED03A6C6B6C2B7C59D422B4FABA8549E12A84AB67C752A75408F9FE2027B3D34197D833904C7F3A8CDBF270DB90819)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=300, database=None)
 @given(DOCUMENTS, DOCUMENTS)
 def test_a_delta_makes_the_target_of_its_base(base: dict[str, Any], target: dict[str, Any]) -> None:
--- a/tests/test_stream_protocol.py
+++ b/tests/test_stream_protocol.py
@@ -8,7 +8,7 @@
 
 import hypothesis.strategies as st
 import pytest
-from hypothesis import given
+from hypothesis import given, seed
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
@@ -230,6 +230,8 @@
     assert isinstance(found[0], p.Arrived)
 
 
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0xE761FD4EC6708988F442CB577E5B492DBAE8E71106E1E67F8F5FFF9EE9FFB9B51EF09E51F2BBED69E100906B7E4F19B3)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=300, database=None)
 @given(
     st.lists(
@@ -281,6 +283,7 @@
     assert mine.ledger.good == Number(1, 3)
 
 
+@seed(0x62403CA0E1150C22FF8118BA5F9E1580D97CCE1BA368326BC622B3E0F7F8A0A567B4ABE761EDFFF3EF5010016ABCFE15)
 class Streaming(RuleBasedStateMachine):
     """Both ends over connections that break anywhere, against a reference of the last good version."""
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -7,7 +7,7 @@
 
 import hypothesis.strategies as st
 import pytest
-from hypothesis import given
+from hypothesis import given, seed
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
@@ -51,6 +51,8 @@
 
 
 # -- the sequence and the selection -------------------------------------------------------------------
+# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+@seed(0xB103A179105DF322E0D73F11B8034FE729B821BA4D45C214990A4BB73AB277D2F4D3B6A1679270702DA0B8FC361780FA)
 @PLAIN
 @given(seed=st.integers(0, 2**32 - 1), power=st.integers(0, 8), block=st.integers(0, 20))
 def test_consecutive_slots_fall_one_into_each_equal_part(seed: int, power: int, block: int) -> None:
@@ -80,6 +82,7 @@
     assert moved(before, after) < 0.01 * 100 * SIZE
 
 
+@seed(0xB24FB3BB5D05825647EA92939CF0040BABB10429D948AF7C0EAF318170F30B95AB12810E02506E3821A6E628B710F2E0)
 @PLAIN
 @given(
     zone_of=st.lists(st.integers(0, 4), min_size=1, max_size=40),
@@ -285,6 +288,7 @@
         Membership(0, 3, RAMP_MS)
 
 
+@seed(0x6B4F9F601DE6A19BD64E4FED533232C8A1BD329A0E74A20CEB85F3B8CC5AB35DB101C1EC3FB10D7CF8DE26DE30A90545)
 class MembershipMachine(RuleBasedStateMachine):
     """Random lists, failures and calls; the host's view must always follow from the list."""
 
