--- a/tests/test_planner_states.py
+++ b/tests/test_planner_states.py
@@ -301,3 +301,28 @@
 TestCalls.settings = hypothesis_settings(
     derandomize=True, deadline=None, max_examples=120, stateful_step_count=40, database=None
 )
+
+
+def test_a_call_answered_while_its_caller_is_away_does_not_stay_at_a_server_out_of_reach() -> None:
+    """Found with another seed: the answer came after the caller's connection broke, then the link broke."""
+    calls = Calls()
+    calls.link_changes("s0")
+    calls.drains_or_is_back("s1")
+    call = "0000000000000001"
+    calls.set_up(True, "usual", 16, 0)
+    calls.connection_lost(call)
+    calls.server_answers(call)
+    calls.link_changes("s0")
+    calls.one_outcome_each()
+    calls.teardown()
+
+
+def test_an_answer_out_of_turn_changes_nothing_where_the_attempt_is_not_written() -> None:
+    """Found with another seed: with 16 ms left the attempt that is taken back ends as a refusal."""
+    calls = Calls()
+    calls.link_changes("s1")
+    calls.link_changes("s0")
+    calls.reads_slowly_or_again("s1")
+    call = "0000000000000001"
+    calls.set_up(False, "usual", 16, 1)
+    calls.answer_out_of_turn(call, "s1")
