--- a/capershelf/fronts/__init__.py
+++ b/capershelf/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""What callers speak to: JSON lines over TCP, and the same vocabulary over WebSocket."""
+"""Fronts for callers: JSON lines over TCP, and the same vocabulary over WebSocket."""
--- a/capershelf/fronts/listener.py
+++ b/capershelf/fronts/listener.py
@@ -1,4 +1,4 @@
-"""Accepts callers for one front, no more than its share of the descriptors."""
+"""Accepts the callers of one front, up to its share of the file descriptors."""
 
 from __future__ import annotations
 
@@ -11,73 +11,86 @@
 
 from loguru import logger
 
-from capershelf.fronts.session import MUFFLE, House, Session
+from capershelf.fronts.session import WARNING_LIMITER, FrontContext, Session
 from capershelf.net.addresses import parse_endpoint
 from capershelf.net.connection import start_thread
 from capershelf.net.framing import Framing
 
-ROOM = 4  # callers that are hung up on at a time when the front is full
-ROOM_PER_MS, MOST_ROOM = 0.1, 100.0  # and so many in time: turning the others away costs less
-ROOM_LOOKS = 10  # looks at whether those that were hung up on are gone
-PAUSE_S = 0.05  # before the next accept where one has failed
-END_S = 0.01  # between two looks at who is still there, at the end
-TURNED_AWAY = 8  # callers over the limit that may be told so at a time; the next are hung up on
+EVICTION_BATCH = 4  # idle sessions closed at a time to free descriptors
+# Token bucket for evicting sessions that have sent a message; rejecting a newcomer costs less than evicting.
+EVICTIONS_PER_MS = 0.1
+EVICTION_BURST = 100.0
+SLOT_CHECKS = 10  # checks for a descriptor freed by an eviction
+ACCEPT_RETRY_S = 0.05  # delay after a failed accept
+POLL_INTERVAL_S = 0.01  # between two checks for ended sessions
+# Connections over the limit that may be sent a rejection at a time; any more are closed without one.
+MAX_PENDING_REJECTIONS = 8
 
 
 class Listener:
-    """A listening socket and the sessions that came in on it.
+    """A listening socket and the sessions accepted on it.
 
-    framing makes one for a new caller: it is told whether the front is full, and None means to hang up.
+    make_framing creates the framing of a new connection.  Its argument says whether the front is full; it
+    returns None to have the connection closed without a response.
     """
 
     def __init__(
-        self, listen: str, framing: Callable[[bool], Framing | None], most: int, house: House
+        self,
+        listen: str,
+        make_framing: Callable[[bool], Framing | None],
+        max_sessions: int,
+        context: FrontContext,
     ) -> None:
-        self._framing, self._most, self._house = framing, most, house
-        house.ended, house.peer_of = self._ended, self._peer_of
+        self._make_framing, self._max_sessions, self._context = make_framing, max_sessions, context
+        context.on_session_ended, context.other_session_of = self._on_session_ended, self._other_session_of
         self._sessions: set[Session] = set()
         self._lock = threading.Lock()
-        self._pause, self._left = threading.Event(), threading.Event()
+        self._pause, self._slot_freed = threading.Event(), threading.Event()
         self._closing = False
         self._thread: threading.Thread | None = None
-        self._may, self._may_ms = MOST_ROOM, house.clock.now_ms()
+        self._eviction_tokens, self._tokens_refilled_ms = EVICTION_BURST, context.clock.now_ms()
         host, port = parse_endpoint(listen)
         self._sock = socket.create_server((host, port), backlog=1024)
         self.port: int = self._sock.getsockname()[1]
 
     def start(self) -> None:
-        self._thread = start_thread(self._run, "listener")
+        """Start the accepting thread."""
+        self._thread = start_thread(self._accept_loop, "listener")
 
-    def _run(self) -> None:
+    def _accept_loop(self) -> None:
         while True:
             try:
                 sock, address = self._sock.accept()
-            except OSError as problem:
+            except OSError as error:
                 if self._closing or self._sock.fileno() < 0:
                     return
-                # such as no descriptor left
-                logger.warning("accept: {problem}", event="accept-failed", problem=problem)
-                self._make_room(ROOM)
-                self._pause.wait(PAUSE_S)  # guards the processor while that lasts
+                # For example, the process has run out of descriptors.
+                logger.warning("accept failed: {problem}", event="accept-failed", problem=error)
+                self._evict_idle(EVICTION_BATCH)
+                self._pause.wait(ACCEPT_RETRY_S)  # avoids a busy loop while accept keeps failing
                 continue
-            self._take_in(sock, address)
+            self._admit_safely(sock, address)
 
-    def _take_in(self, sock: socket.socket, address: Any) -> None:
+    def _admit_safely(self, sock: socket.socket, address: Any) -> None:
         try:
             self._admit(sock, f"{address[0]}:{address[1]}")
-        except Exception:  # guards the one accepting thread
-            logger.exception("a caller could not be taken in", event="caller-fault")
+        except Exception:  # one connection's fault must not end the accepting thread
+            logger.exception("a caller could not be admitted", event="caller-fault")
             sock.close()
 
     def _admit(self, sock: socket.socket, name: str) -> None:
         with self._lock:
             connected = len(self._sessions)
-        full = connected >= self._most and not (self._make_room(ROOM) and self._has_room())
-        framing = self._framing(full) if connected < self._most + TURNED_AWAY else None
+        full = connected >= self._max_sessions and not (
+            self._evict_idle(EVICTION_BATCH) and self._wait_for_slot()
+        )
+        framing = (
+            self._make_framing(full) if connected < self._max_sessions + MAX_PENDING_REJECTIONS else None
+        )
         if full or framing is None:
-            MUFFLE.warn(
-                self._house.clock.now_ms(),
-                "{peer}: turned away, {count} callers are connected",
+            WARNING_LIMITER.warn(
+                self._context.clock.now_ms(),
+                "{peer}: rejected, {count} callers are connected",
                 event="caller-turned-away",
                 peer=name,
                 count=connected,
@@ -86,104 +99,120 @@
             sock.close()
             return
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        session = Session(sock, framing, name, self._house)
+        session = Session(sock, framing, name, self._context)
         with self._lock:
             self._sessions.add(session)
         try:
             session.connection.start()
-        except Exception:  # such as no thread to be had
+        except Exception:  # for example, no thread could be started
             with self._lock:
                 self._sessions.discard(session)
             framing.done()
             raise
 
-    def _make_room(self, most: int) -> bool:
-        """Hang up on those who need it least: the oldest that never spoke, else the longest without a call.
+    def _evict_idle(self, count: int) -> bool:
+        """Close up to count idle sessions to free descriptors; returns whether one was closed.
 
-        Guards the usual callers against hundreds that connect and say nothing, or ask once and stay.  Some
-        go at a time, and of those that have spoken so many a second: guards the planners' share of the
-        processor from a crowd's.  Those that never spoke go whatever their number: the newcomer may be a
-        caller with a set-up, and of one that has sent anything the socket shows it (quiet()).
+        The oldest that never sent a message go first, then those longest without a call.  This keeps regular
+        callers reachable when hundreds of connections send nothing, or one request, and stay open.  Sessions
+        that have sent a message are evicted at a limited rate, so that a crowd of connections cannot take
+        the planners' share of the processor.  Silent ones are evicted at any rate: the newcomer may be a
+        caller with a set-up, while pending data on a silent session is seen in its socket (quiet()).
         """
-        now_ms = self._house.clock.now_ms()
+        now_ms = self._context.clock.now_ms()
         with self._lock:
-            found = [session for session in self._sessions if session.spare()]
-        found.sort(key=lambda session: (not session.silent, session.connection.half(), session.at_ms))
-        silent = [session for session in found if session.silent]
-        if self._retire(silent, most):
+            idle = [session for session in self._sessions if session.is_idle()]
+        idle.sort(
+            key=lambda session: (
+                not session.awaiting_first_message,
+                session.connection.half(),
+                session.last_activity_ms,
+            )
+        )
+        silent = [session for session in idle if session.awaiting_first_message]
+        if self._evict(silent, count):
             return True
-        self._may = min(MOST_ROOM, self._may + (now_ms - self._may_ms) * ROOM_PER_MS)
-        self._may_ms = now_ms
-        if self._may < most:
+        self._eviction_tokens = min(
+            EVICTION_BURST, self._eviction_tokens + (now_ms - self._tokens_refilled_ms) * EVICTIONS_PER_MS
+        )
+        self._tokens_refilled_ms = now_ms
+        if self._eviction_tokens < count:
             return False
-        self._may -= most
-        return self._retire(found[len(silent) :][:most], most)
+        self._eviction_tokens -= count
+        return self._evict(idle[len(silent) :][:count], count)
 
     @staticmethod
-    def _retire(sessions: Iterable[Session], most: int) -> bool:
-        """Hang up on the first of these that can go, so many at the most; whether one went.
+    def _evict(sessions: Iterable[Session], count: int) -> bool:
+        """Close the first sessions that can be closed, at most count; returns whether one was closed.
 
-        Those of whom something lies unread stay: guards a newcomer from being turned away for the oldest
-        few of them where the others would make room.
+        Sessions with unread data are skipped, so that a newcomer is not rejected because the oldest few have
+        some while others could be evicted.
         """
-        gone = 0
+        evicted = 0
         for session in sessions:
-            gone += session.retire("the front is full", at_once=True)
-            if gone == most:
+            evicted += session.close_if_idle("the front is full", at_once=True)
+            if evicted == count:
                 break
-        return gone > 0
+        return evicted > 0
 
-    def _has_room(self) -> bool:
-        """Whether one of those that were hung up on has given its descriptor back.
+    def _wait_for_slot(self) -> bool:
+        """Wait briefly for an evicted session to free its descriptor; returns whether the front has a slot.
 
-        Guards the descriptors of the list and the links from peers that are hung up on and never hang up
-        themselves: nobody is let in before a place is free.
+        Nobody is admitted before a slot is free: peers that never close their end would otherwise use up the
+        descriptors that the server list and the links to booking servers need.
         """
-        for _ in range(ROOM_LOOKS):
+        for _ in range(SLOT_CHECKS):
             with self._lock:
-                if len(self._sessions) < self._most:
+                if len(self._sessions) < self._max_sessions:
                     return True
-            self._left.wait(END_S)
-            self._left.clear()
+            self._slot_freed.wait(POLL_INTERVAL_S)
+            self._slot_freed.clear()
         return False
 
-    def _ended(self, session: Session) -> None:
+    def _on_session_ended(self, session: Session) -> None:
         with self._lock:
             self._sessions.discard(session)
-        self._left.set()
+        self._slot_freed.set()
 
-    def _peer_of(self, caller: Session) -> Session | None:
-        """Another open session of the same caller host."""
+    def _other_session_of(self, caller: Session) -> Session | None:
+        """Another open session from the same caller host."""
         with self._lock:
             return next((s for s in self._sessions if s is not caller and s.host == caller.host), None)
 
     def stop_accepting(self) -> None:
-        """Close the door behind those whom the machine has let in already: a reset would lose their calls."""
+        """Close the listening socket, first admitting the connections in its backlog.
+
+        Closing it with connections in the backlog would reset them and lose their calls.
+        """
         self._closing = True
-        with contextlib.suppress(OSError):  # none is left, none can be taken in, or it is closed already
+        with contextlib.suppress(OSError):  # the backlog is empty, accept failed, or the socket is closed
             self._sock.setblocking(False)
             while True:
                 sock, address = self._sock.accept()
                 sock.setblocking(True)
-                self._take_in(sock, address)
+                self._admit_safely(sock, address)
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)  # wakes the accepting thread
         self._sock.close()
 
-    def close_all(self, by_ms: float = -math.inf) -> None:
-        """Hang up on everyone: each once it is owed nothing and nothing of it is unread, or at by_ms.
+    def close_all(self, deadline_ms: float = -math.inf) -> None:
+        """Close every session: once it has no calls and no unread data, or at the deadline.
 
-        After the accepting thread's last: guards the caller that it was just letting in.
+        Waits for the accepting thread first, so that a caller being admitted is not missed.
         """
-        while self._thread is not None and self._thread.is_alive() and self._house.clock.now_ms() < by_ms:
-            self._pause.wait(END_S)
+        while (
+            self._thread is not None
+            and self._thread.is_alive()
+            and self._context.clock.now_ms() < deadline_ms
+        ):
+            self._pause.wait(POLL_INTERVAL_S)
         while True:
             with self._lock:
                 sessions = list(self._sessions)
-            if not sessions or self._house.clock.now_ms() >= by_ms:
+            if not sessions or self._context.clock.now_ms() >= deadline_ms:
                 break
             for session in sessions:
-                session.retire("going away")
-            self._pause.wait(END_S)
+                session.close_if_idle("going away")
+            self._pause.wait(POLL_INTERVAL_S)
         for session in sessions:
             session.connection.close(1001, "going away")
--- a/capershelf/fronts/session.py
+++ b/capershelf/fronts/session.py
@@ -1,4 +1,4 @@
-"""A caller's session, the same over every front: reads the vocabulary, passes events on, tells outcomes."""
+"""A caller's session, the same for every front: decodes messages, forwards events, delivers outcomes."""
 
 from __future__ import annotations
 
@@ -10,327 +10,351 @@
 
 from loguru import logger
 
-from capershelf.core import model as m
+from capershelf.core import model
 from capershelf.core.clock import Clock, Inbox
 from capershelf.net import vocabulary
 from capershelf.net.connection import Connection
 from capershelf.net.framing import Framing, OverError
 
-# A caller has so long
-HANDSHAKE_MS = 2000.0  # to finish a front's handshake,
-FIRST_MS = 2000.0  # to say anything at all,
-HALF_MS = 1000.0  # for the rest of a message that it has begun,
-IDLE_MS = 6000.0  # and between messages with no call here: it should itself hang up after 4 s.
-LEAST_LEFT_MS = 200.0  # for a set-up that may have lain here unread for longer than its caller waits
-BARRED_MS = 500.0  # the planners have so long to end the calls of one that is hung up on
-# What a connection may ask for grows with the calls that stood on it: hundreds at once come from no caller
-# whose calls do, and what they ask for costs the booking servers work.
-OPEN = 64  # set-ups without an outcome, and one more for each call that stood,
-MOST_OPEN = 512  # up to this; what is over it is refused at once
-CREDIT = 256.0  # messages without any effect, such as set-ups taken back
-MOST_CREDIT = 1024.0
-CREDIT_PER_MS = 0.1  # that come back with time;
-EFFECT = 1.0  # and with each outcome or end;
-EARNED = 4.0  # a call that stands brings more
-STRIKES = 8  # set-ups that can't be used, less one for each call that stands
-LOUD, LOUD_MS = 20, 1000.0  # lines about bad callers in so long; the rest are counted
-
-Route = Callable[[str], Callable[[m.Event], None]]
-
-
-class Muffle:
-    """Log lines that callers bring about: guards the log and the processor against a flood of them."""
+HANDSHAKE_TIMEOUT_MS = 2000.0
+FIRST_MESSAGE_TIMEOUT_MS = 2000.0
+PARTIAL_MESSAGE_TIMEOUT_MS = 1000.0  # for the rest of a message after its first bytes
+IDLE_TIMEOUT_MS = 6000.0  # without a call; callers close idle connections themselves after 4 s
+# Least time left to a set-up that may have stayed unread for longer than its caller waits.
+MIN_REMAINING_MS = 200.0
+REJECTION_TIMEOUT_MS = 500.0  # for the planners to end the calls of a rejected caller
+# The limit on open set-ups grows with the calls established on the connection: a caller whose calls succeed
+# never has hundreds open at once, and each one costs the booking servers work.
+BASE_OPEN_SET_UPS = 64  # plus one for each call established on the connection
+MAX_OPEN_SET_UPS = 512  # set-ups over the limit are refused at once
+# Token bucket for messages without effect, such as set-ups that are released again.
+INITIAL_MESSAGE_TOKENS = 256.0
+MAX_MESSAGE_TOKENS = 1024.0
+MESSAGE_TOKENS_PER_MS = 0.1
+TOKENS_PER_OUTCOME = 1.0  # for each outcome of a set-up and each end of a call
+TOKENS_PER_ANSWER = 4.0  # in addition, for each established call
+MAX_UNUSABLE_SET_UPS = 8  # each established call makes up for one
+MAX_WARNINGS_PER_WINDOW = 20  # warnings about misbehaving callers; any more are only counted
+WARNING_WINDOW_MS = 1000.0
+
+# Returns, for a call id, the function that posts an event to the call's planner.
+Route = Callable[[str], Callable[[model.Event], None]]
+
+
+class WarningLimiter:
+    """Rate limit for warnings that callers can cause; protects the log and the processor from a flood."""
 
     def __init__(self) -> None:
-        self._since_ms, self._lines, self._swallowed = -math.inf, 0, 0
+        self._window_start_ms, self._logged, self._suppressed = -math.inf, 0, 0
 
     def warn(self, now_ms: float, text: str, **fields: object) -> None:
-        if now_ms - self._since_ms >= LOUD_MS:
-            if self._swallowed:
+        """Log a warning, or count it if the current window's limit is reached."""
+        if now_ms - self._window_start_ms >= WARNING_WINDOW_MS:
+            if self._suppressed:
                 logger.warning(
-                    "{count} more lines about bad callers were left out",
+                    "{count} more warnings about misbehaving callers were suppressed",
                     event="lines-left-out",
-                    count=self._swallowed,
+                    count=self._suppressed,
                 )
-            self._since_ms, self._lines, self._swallowed = now_ms, 0, 0
-        self._lines += 1
-        if self._lines <= LOUD:
+            self._window_start_ms, self._logged, self._suppressed = now_ms, 0, 0
+        self._logged += 1
+        if self._logged <= MAX_WARNINGS_PER_WINDOW:
             logger.warning(text, **fields)
         else:
-            self._swallowed += 1
+            self._suppressed += 1
 
 
-MUFFLE = Muffle()
+WARNING_LIMITER = WarningLimiter()
 
 
-class House:
-    """What the sessions of one front share: the ways into the planners, and who else is there."""
+class FrontContext:
+    """State and callbacks shared by the sessions of one front."""
 
     def __init__(
         self,
         clock: Clock,
         terms: vocabulary.Terms,
         route: Route,
-        every: Callable[[m.Event], int],
-        ready: Callable[[], bool],
-        outlived: bool,
-        most_bytes: int = 1 << 20,
+        broadcast: Callable[[model.Event], int],
+        is_ready: Callable[[], bool],
+        calls_outlive_connection: bool,
+        max_description_bytes: int = 1 << 20,
     ) -> None:
-        self.clock, self.terms, self.route, self.every, self.ready = clock, terms, route, every, ready
-        self.outlived = outlived
-        self.closed = False  # no more set-ups are taken: the proxy stops
-        self.most_bytes = most_bytes  # of descriptions in open set-ups, of all callers together
-        self._bytes = 0
-        self.owed = 0  # set-ups taken from callers and not yet given an outcome
-        self._askers: dict[str, Session] = {}  # who waits for the outcome of which
+        self.clock = clock
+        self.terms = terms
+        self.route = route
+        self.broadcast = broadcast  # posts an event to every planner and returns their number
+        self.is_ready = is_ready
+        self.calls_outlive_connection = calls_outlive_connection
+        self.closed = False  # the proxy is stopping: no more set-ups are accepted
+        self.max_description_bytes = max_description_bytes  # in the open set-ups of all callers together
+        self._description_bytes = 0
+        self.pending_set_ups = 0  # accepted from callers, still without an outcome
+        self._waiting_sessions: dict[str, Session] = {}  # by the id of the call whose outcome they wait for
         self._lock = threading.Lock()
-        self.ended: Callable[[Session], None]
-        self.peer_of: Callable[[Session], Session | None]
+        self.on_session_ended: Callable[[Session], None]
+        self.other_session_of: Callable[[Session], Session | None]
 
-    def reserve(self, call_id: str, size: int, asker: Session) -> bool:
-        """Guards a small memory against set-ups of the largest size by the hundred."""
+    def reserve(self, call_id: str, size: int, session: Session) -> bool:
+        """Reserve memory for a set-up; False if the front is closed or the limit is reached.
+
+        The limit keeps hundreds of set-ups of the largest size from exhausting a small memory.
+        """
         with self._lock:
-            if self.closed or self._bytes + size > self.most_bytes:
+            if self.closed or self._description_bytes + size > self.max_description_bytes:
                 return False
-            self._bytes += size
-            self.owed += 1
-            self._askers[call_id] = asker
+            self._description_bytes += size
+            self.pending_set_ups += 1
+            self._waiting_sessions[call_id] = session
             return True
 
-    def asker(self, call_id: str) -> Session | None:
-        """The session that waits for this call's outcome: a caller may give it up on any connection."""
+    def waiting_session(self, call_id: str) -> Session | None:
+        """The session that waits for this call's outcome; a caller may abandon it on any connection."""
         with self._lock:
-            return self._askers.get(call_id)
+            return self._waiting_sessions.get(call_id)
 
-    def give_back(self, call_id: str, size: int, asker: Session) -> None:
+    def free_reservation(self, call_id: str, size: int, session: Session) -> None:
+        """Undo reserve() once the set-up has its outcome."""
         with self._lock:
-            self._bytes -= size
-            self.owed -= 1
-            if self._askers.get(call_id) is asker:
-                del self._askers[call_id]
-            last = self.closed and not self.owed
-        if last:  # a planner that stops may be waiting for it
-            self.every(m.InboxBarrier(lambda: None))
+            self._description_bytes -= size
+            self.pending_set_ups -= 1
+            if self._waiting_sessions.get(call_id) is session:
+                del self._waiting_sessions[call_id]
+            was_last = self.closed and not self.pending_set_ups
+        if was_last:  # wakes a stopping planner that waits for it
+            self.broadcast(model.InboxBarrier(lambda: None))
 
     def close(self) -> None:
-        """Take nothing more: what still comes is refused at once."""
+        """Refuse every further set-up at once."""
         with self._lock:
             self.closed = True
 
 
 class Session:
-    """One caller connection, and what it may ask of this proxy; docs/websocket.md has a rule for each kind of
-    bad input.  The ids of its calls are kept while they are open or stand.
+    """One caller connection, its calls and the limits on its requests.
+
+    docs/websocket.md has a rule for each kind of bad input.  Call ids are kept while their calls are open or
+    established.
     """
 
-    def __init__(self, sock: socket.socket, framing: Framing, name: str, house: House) -> None:
+    def __init__(self, sock: socket.socket, framing: Framing, name: str, context: FrontContext) -> None:
         self.name = name
-        self.calls_outlive_connection = house.outlived
+        self.calls_outlive_connection = context.calls_outlive_connection
         self.host = name.rpartition(":")[0]
-        self._house, self._clock = house, house.clock
-        self._lock = threading.Lock()  # over all that follows
-        self._open: dict[str, int] = {}  # the size of each description
-        self._stands: set[str] = set()
-        self._given_up: set[str] = set()  # of the open ones: nobody waits for them any more
-        self._gone = False  # the connection has ended
-        self.silent = True  # it has never sent a whole message
-        self.at_ms = self._clock.now_ms()  # of its last message, or of the last that it was told
-        self._leaving = False
-        self._stood, self._strikes = 0, 0
-        self._credit = CREDIT
-        self._credit_ms = self.at_ms
+        self._context, self._clock = context, context.clock
+        self._lock = threading.Lock()  # guards the attributes below
+        self._open: dict[str, int] = {}  # size of the description by call id
+        self._established: set[str] = set()
+        self._abandoned: set[str] = set()  # open calls whose caller no longer waits
+        self._disconnected = False
+        self.awaiting_first_message = True  # no complete message has been received
+        self.last_activity_ms = self._clock.now_ms()  # of the last message in either direction
+        self._closing = False
+        self._answered_calls, self._unusable_set_ups = 0, 0
+        self._message_tokens = INITIAL_MESSAGE_TOKENS
+        self._tokens_refilled_ms = self.last_activity_ms
         self.connection = Connection(
             sock,
             framing,
-            self._message,
-            self._ended,
+            self._on_message,
+            self._on_closed,
             name,
             self._clock,
-            self.at_ms + HANDSHAKE_MS,
-            due=self._due,
-            on_foul=self._foul,
+            self.last_activity_ms + HANDSHAKE_TIMEOUT_MS,
+            due=self._read_deadline_ms,
+            on_foul=self._on_violation,
         )
 
-    # -- what the planners see ------------------------------------------------------------------------
-    def other_connection(self) -> m.Caller | None:
-        return None if self.calls_outlive_connection else self._house.peer_of(self)
+    # -- used by the planners -------------------------------------------------------------------------
+    def other_connection(self) -> model.Caller | None:
+        """Another open connection of the same caller, if any of them may take its messages."""
+        return None if self.calls_outlive_connection else self._context.other_session_of(self)
 
     def is_waiting(self, call_id: str) -> bool:
-        """Guards booking servers from set-ups for callers that have left, before a planner hears of it."""
+        """Whether the caller still waits for the call's outcome.
+
+        Keeps set-ups of callers that have left from booking servers before the planner processes the event.
+        """
         with self._lock:
-            if call_id in self._given_up:
+            if call_id in self._abandoned:
                 return False
             if self.calls_outlive_connection:
                 return True
-            gone = self._gone
-        return not gone and not self.connection.hung_up()
+            disconnected = self._disconnected
+        return not disconnected and not self.connection.hung_up()
 
-    def give_up(self, call_id: str) -> None:
-        """Its caller has called it off; the planner hears of it in its turn."""
+    def mark_abandoned(self, call_id: str) -> None:
+        """Note that the caller has abandoned the call; the planner receives its own event for that."""
         with self._lock:
             if call_id in self._open:
-                self._given_up.add(call_id)
+                self._abandoned.add(call_id)
 
-    def notify(self, word: m.CallerMessage) -> bool:
+    def notify(self, message: model.CallerMessage) -> bool:
+        """Send the caller an outcome or the end of a call; False if that is no longer possible."""
         with self._lock:
-            if isinstance(word, m.Answered) and self._leaving:
-                return False  # guards against a call that stands for nobody
-            self._end(word.id)
-            self.at_ms = self._clock.now_ms()
-            self._credit += EFFECT
-            if isinstance(word, m.Answered):
-                self._stands.add(word.id)
-                self._stood += 1
-                self._strikes = max(0, self._strikes - 1)
-                self._credit += EARNED
-        return self.connection.post(vocabulary.word_bytes(word))
+            if isinstance(message, model.Answered) and self._closing:
+                return False  # nobody would be left to end the established call
+            self._forget_call(message.id)
+            self.last_activity_ms = self._clock.now_ms()
+            self._message_tokens += TOKENS_PER_OUTCOME
+            if isinstance(message, model.Answered):
+                self._established.add(message.id)
+                self._answered_calls += 1
+                self._unusable_set_ups = max(0, self._unusable_set_ups - 1)
+                self._message_tokens += TOKENS_PER_ANSWER
+        return self.connection.post(vocabulary.word_bytes(message))
 
     def call_ended(self, call_id: str) -> None:
-        """A call of this caller's is over, whatever it is told of it."""
+        """Note that a call of this caller has ended, whether or not the caller is notified."""
         with self._lock:
-            if call_id not in self._open:  # a call that stood was ended, wherever it was set up
-                self._credit += EFFECT
-            self._end(call_id)
-
-    def _end(self, call_id: str) -> None:
-        """With the lock: neither open nor standing any more."""
-        self._stands.discard(call_id)
-        self._given_up.discard(call_id)
+            if call_id not in self._open:  # an established call was ended, wherever it was set up
+                self._message_tokens += TOKENS_PER_OUTCOME
+            self._forget_call(call_id)
+
+    def _forget_call(self, call_id: str) -> None:
+        """Drop a call that is neither open nor established any more.  The caller holds the lock."""
+        self._established.discard(call_id)
+        self._abandoned.discard(call_id)
         if (size := self._open.pop(call_id, None)) is not None:
-            self._house.give_back(call_id, size, self)
+            self._context.free_reservation(call_id, size, self)
 
-    # -- what the listener sees -----------------------------------------------------------------------
-    def spare(self) -> bool:
-        """Whether nobody loses anything by this connection's end."""
-        return not (self._open or self._stands or self._leaving)
+    # -- used by the listener -------------------------------------------------------------------------
+    def is_idle(self) -> bool:
+        """Whether the session has no calls and is not closing."""
+        return not (self._open or self._established or self._closing)
 
-    def retire(self, reason: str, at_once: bool = False) -> bool:
-        """Hang up, unless there is a call on it by now, or a message that may ask for one.
+    def close_if_idle(self, reason: str, at_once: bool = False) -> bool:
+        """Close the connection unless it has a call or unread data; returns whether it is being closed.
 
-        at_once: its descriptor is needed, and is not left to when its peer hangs up too.
+        at_once: close without waiting for the peer to close its end, because the descriptor is needed.
         """
         if not self.connection.quiet():
             return False
         with self._lock:
-            if not self.spare():
+            if not self.is_idle():
                 return False
-            self._leaving = True
+            self._closing = True
         if at_once and self.connection.written():
             self.connection.close(1001, reason)
         else:
             self.connection.finish(1001, reason)
         return True
 
-    # -- the connection's thread ----------------------------------------------------------------------
-    def _ended(self) -> None:
-        self._house.ended(self)
+    # -- called on the connection's thread ------------------------------------------------------------
+    def _on_closed(self) -> None:
+        self._context.on_session_ended(self)
         with self._lock:
-            self._gone, self._leaving, concerned = True, True, bool(self._open or self._stands)
+            self._disconnected, self._closing, had_calls = True, True, bool(self._open or self._established)
             for call_id in list(self._open):
-                self._end(call_id)
-        if concerned:
-            self._house.every(m.CallerDisconnected(self))
-
-    def _due(self, half_ms: float) -> float:
-        if half_ms < math.inf:
-            return half_ms + HALF_MS
-        if self.silent:
-            return self.at_ms + FIRST_MS
+                self._forget_call(call_id)
+        if had_calls:
+            self._context.broadcast(model.CallerDisconnected(self))
+
+    def _read_deadline_ms(self, partial_since_ms: float) -> float:
+        """When the caller must have sent more; partial_since_ms is infinite without a partial message."""
+        if partial_since_ms < math.inf:
+            return partial_since_ms + PARTIAL_MESSAGE_TIMEOUT_MS
+        if self.awaiting_first_message:
+            return self.last_activity_ms + FIRST_MESSAGE_TIMEOUT_MS
         with self._lock:
-            return math.inf if self._open or self._stands else self.at_ms + IDLE_MS
+            return math.inf if self._open or self._established else self.last_activity_ms + IDLE_TIMEOUT_MS
 
-    def _foul(self, reason: str) -> bool:
-        """Last words: the calls open here get their outcome, then the caller is told why it is hung up on."""
+    def _on_violation(self, reason: str) -> bool:
+        """Give the open calls their outcome, then send the caller the reason why its connection is closed."""
         now_ms = self._clock.now_ms()
-        MUFFLE.warn(
-            now_ms, "{peer}: hung up on: {reason}", event="caller-hung-up", peer=self.name, reason=reason
+        WARNING_LIMITER.warn(
+            now_ms, "{peer}: closing: {reason}", event="caller-hung-up", peer=self.name, reason=reason
         )
         with self._lock:
-            self._leaving, owed = True, bool(self._open)
-        if owed:
-            done: Inbox[bool] = Inbox(self._clock)
-            for _ in range(self._house.every(m.CallerRejected(self, lambda: done.put(True)))):
-                done.take(now_ms + BARRED_MS)
-        why = {"reason": reason[:100]}
-        return self.connection.post(vocabulary.encode("release", "", m.CAUSE_INVALID, fields=why))
-
-    def _message(self, line: bytes) -> None:
+            self._closing, has_open_calls = True, bool(self._open)
+        if has_open_calls:
+            acks: Inbox[bool] = Inbox(self._clock)
+            for _ in range(self._context.broadcast(model.CallerRejected(self, lambda: acks.put(True)))):
+                acks.take(now_ms + REJECTION_TIMEOUT_MS)
+        details = {"reason": reason[:100]}
+        return self.connection.post(vocabulary.encode("release", "", model.CAUSE_INVALID, fields=details))
+
+    def _on_message(self, line: bytes) -> None:
         now_ms = self._clock.now_ms()
         with self._lock:
-            if self._leaving:
-                return  # it crossed the end that this proxy has put to the connection
-            came, self.silent, self.at_ms = self.silent, False, now_ms
-            earned = (now_ms - self._credit_ms) * CREDIT_PER_MS
-            self._credit = min(MOST_CREDIT, self._credit + earned) - 1.0
-            self._credit_ms = now_ms
-            spent = self._credit < 0.0
-        if came:  # with its first message: a connection that says nothing costs the planners nothing
-            self._house.every(m.CallerConnected(self))
-        if spent:
+            if self._closing:
+                return  # it crossed this proxy's close
+            is_first = self.awaiting_first_message
+            self.awaiting_first_message = False
+            self.last_activity_ms = now_ms
+            refill = (now_ms - self._tokens_refilled_ms) * MESSAGE_TOKENS_PER_MS
+            self._message_tokens = min(MAX_MESSAGE_TOKENS, self._message_tokens + refill) - 1.0
+            self._tokens_refilled_ms = now_ms
+            exhausted = self._message_tokens < 0.0
+        if is_first:  # not earlier: a silent connection costs the planners nothing
+            self._context.broadcast(model.CallerConnected(self))
+        if exhausted:
             raise OverError("too many messages to no effect", foul=True)
         try:
             message = vocabulary.decode(line)
-            self._take(message, now_ms)
-        except vocabulary.UnusableError as problem:
-            MUFFLE.warn(
+            self._handle(message, now_ms)
+        except vocabulary.UnusableError as error:
+            WARNING_LIMITER.warn(
                 now_ms,
-                "{peer}: call {call} can't be used: {problem}",
+                "{peer}: the set-up of call {call} is unusable: {problem}",
                 event="set-up-unusable",
                 peer=self.name,
-                call=problem.id,
-                problem=str(problem),
+                call=error.id,
+                problem=str(error),
             )
             with self._lock:
-                self._strikes += 1
-                out = self._strikes > STRIKES
-            self.notify(m.Failed(problem.id, m.CAUSE_INVALID))
-            if out:
-                raise OverError("too many set-ups that can't be used", foul=True) from problem
-        except vocabulary.UnreadableError as problem:
-            raise OverError(f"a message that can't be read: {problem}", foul=True) from problem
-
-    def _take(self, message: dict[str, object], now_ms: float) -> None:
+                self._unusable_set_ups += 1
+                limit_exceeded = self._unusable_set_ups > MAX_UNUSABLE_SET_UPS
+            self.notify(model.Failed(error.id, model.CAUSE_INVALID))
+            if limit_exceeded:
+                raise OverError("too many set-ups that can't be used", foul=True) from error
+        except vocabulary.UnreadableError as error:
+            raise OverError(f"a message that can't be read: {error}", foul=True) from error
+
+    def _handle(self, message: dict[str, object], now_ms: float) -> None:
         kind = message["type"]
         if kind == "setup":
-            self._set_up(message, now_ms)
+            self._handle_set_up(message, now_ms)
         elif kind == "release":
-            named = vocabulary.call_id(message)
-            if (asker := self._house.asker(named)) is not None:
-                asker.give_up(named)
-            self._house.route(named)(m.CallerReleased(named, vocabulary.cause_of(message, named), self))
+            message_id = vocabulary.call_id(message)
+            if (waiting := self._context.waiting_session(message_id)) is not None:
+                waiting.mark_abandoned(message_id)
+            self._context.route(message_id)(
+                model.CallerReleased(message_id, vocabulary.cause_of(message, message_id), self)
+            )
         elif kind == "ping":
-            named = str(message.get("id", ""))[:16]
-            self.connection.post(vocabulary.encode("pong", named, int(self._house.ready())))
+            message_id = str(message.get("id", ""))[:16]
+            self.connection.post(vocabulary.encode("pong", message_id, int(self._context.is_ready())))
         elif kind not in ("progress", "released", "pong"):
             raise vocabulary.UnreadableError(f"unknown type {str(kind)[:40]!r}")
 
-    def _unread_ms(self, now_ms: float) -> float:
-        """How long a set-up may have lain here while this process stood still.
+    def _max_unread_ms(self, now_ms: float) -> float:
+        """How long a set-up may have stayed unread while this process was not running.
 
-        Guards callers from an outcome after they have left: what a set-up has left counts from when it was
-        sent, which it does not say.
+        A set-up's remaining time counts from when it was sent, which the message does not say; subtracting
+        this keeps callers from receiving an outcome after they have left.
         """
         standstill = self._clock.standstill
         return standstill.unread_ms(now_ms) if standstill is not None else 0.0
 
-    def _set_up(self, message: dict[str, object], now_ms: float) -> None:
-        named = vocabulary.call_id(message)
+    def _handle_set_up(self, message: dict[str, object], now_ms: float) -> None:
+        call = vocabulary.call_id(message)
         with self._lock:
-            if named in self._open or named in self._stands:
-                # Which of the two an outcome would be for, nobody could tell.
-                raise OverError(f"two set-ups under the id {named}", foul=True)
-        request = vocabulary.set_up_of(message, now_ms, self._house.terms)
-        if (unread_ms := self._unread_ms(now_ms)) > 0.0:
-            least_ms = min(request.expires_ms, now_ms + LEAST_LEFT_MS)
-            request = replace(request, expires_ms=max(least_ms, request.expires_ms - unread_ms))
+            if call in self._open or call in self._established:
+                # An outcome could not be matched to one of the two.
+                raise OverError(f"two set-ups under the id {call}", foul=True)
+        request = vocabulary.set_up_of(message, now_ms, self._context.terms)
+        if (unread_ms := self._max_unread_ms(now_ms)) > 0.0:
+            min_expires_ms = min(request.expires_ms, now_ms + MIN_REMAINING_MS)
+            request = replace(request, expires_ms=max(min_expires_ms, request.expires_ms - unread_ms))
         with self._lock:
             size = len(request.description)
-            taken = len(self._open) < min(MOST_OPEN, OPEN + self._stood) and (
-                self._house.reserve(named, size, self)
+            accepted = len(self._open) < min(MAX_OPEN_SET_UPS, BASE_OPEN_SET_UPS + self._answered_calls) and (
+                self._context.reserve(call, size, self)
             )
-            if taken:
-                self._open[named] = size
-        if not taken:
-            self.notify(m.Refused(named, self._house.terms.wait_ms))
+            if accepted:
+                self._open[call] = size
+        if not accepted:
+            self.notify(model.Refused(call, self._context.terms.wait_ms))
         else:
-            self._house.route(named)(m.SetUpReceived(request, self))
+            self._context.route(call)(model.SetUpReceived(request, self))
--- a/capershelf/node.py
+++ b/capershelf/node.py
@@ -17,7 +17,7 @@
 from capershelf.core.clock import Clock, SystemClock
 from capershelf.core.planner import Planner
 from capershelf.fronts.listener import Listener
-from capershelf.fronts.session import House
+from capershelf.fronts.session import FrontContext
 from capershelf.net.connection import start_thread
 from capershelf.net.framing import Framing, Lines
 from capershelf.net.links import Links
@@ -145,14 +145,14 @@
             for planner, keeper in zip(self.planners, self.memory.keepers, strict=True):
                 planner.memory = keeper
         self.fronts: list[Listener] = []
-        self.houses: list[House] = []
+        self.houses: list[FrontContext] = []
         terms = Terms.of(config.settings)
         wanted = [(config.listen, lines_framing, False)] if config.listen else []
         if config.websocket is not None:
             wanted.append((config.websocket.listen, websocket_framing, True))
         for listen, framing, outlived in wanted:
             most = max(1, callers_share(config) // len(wanted))
-            house = House(
+            house = FrontContext(
                 self.clock,
                 terms,
                 self._route,
@@ -211,7 +211,7 @@
         return len(self.planners)
 
     def _owed(self) -> int:
-        return sum(house.owed for house in self.houses)
+        return sum(house.pending_set_ups for house in self.houses)
 
     def _ready(self) -> bool:
         return not self._stopping.is_set()
--- a/lab/capacity/traced_proxy.py
+++ b/lab/capacity/traced_proxy.py
@@ -99,7 +99,7 @@
 
 def trace(stamps: Stamps) -> None:
     """Wrap the program's methods where a call changes hands."""
-    before(Session, "_message", lambda line: stamps.add_line(Point.SET_UP_READ, SET_UP, line))
+    before(Session, "_on_message", lambda line: stamps.add_line(Point.SET_UP_READ, SET_UP, line))
     before(Link, "_message", lambda line, epoch: stamps.add_line(Point.ANSWER_READ, ANSWER, line))
     before(Inbox, "put", lambda event: stamps.add_event(Point.SET_UP_QUEUED, Point.ANSWER_QUEUED, event))
     before(Planner, "take", lambda event: stamps.add_event(Point.SET_UP_TAKEN, Point.ANSWER_TAKEN, event))
--- a/tests/test_caller_states.py
+++ b/tests/test_caller_states.py
@@ -1,4 +1,4 @@
-"""A model of a caller's session: what it may ask, what it is told, and when it is hung up on."""
+"""Stateful tests of a caller's session: its limits, the outcomes it sends, and when it closes."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, consumes, invariant, precondition, rule
 
-from capershelf.core import model as m
+from capershelf.core import model
 from capershelf.core.clock import ManualClock, SystemClock
-from capershelf.fronts import session as front
+from capershelf.fronts import session as session_module
 from capershelf.fronts.listener import Listener
 from capershelf.net.framing import Lines, OverError
 from capershelf.net.vocabulary import Terms
@@ -89,125 +89,134 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.clock, self.put, self.said = ManualClock(), list[m.Event](), list[dict[str, Any]]()
-        house = front.House(self.clock, TERMS, lambda call: self.put.append, self.every, lambda: True, False)
-        house.ended = lambda session: None
+        self.clock, self.events, self.sent = ManualClock(), list[model.Event](), list[dict[str, Any]]()
+        context = session_module.FrontContext(
+            self.clock, TERMS, lambda call: self.events.append, self.broadcast, lambda: True, False
+        )
+        context.on_session_ended = lambda session: None
         self.near, self.far = socket.socketpair()
-        self.session = front.Session(self.near, Lines(), "127.0.0.1:1", house)
+        self.session = session_module.Session(self.near, Lines(), "127.0.0.1:1", context)
         self.session.connection.post = self.post  # type: ignore[method-assign]
-        self.owed, self.stood, self.strikes, self.count, self.gone = set[str](), 0, 0, 0, False
+        self.pending, self.established, self.unusable, self.count, self.closed = set[str](), 0, 0, 0, False
 
     def teardown(self) -> None:
         self.near.close()
         self.far.close()
 
-    def post(self, message: bytes, tag: str = "", gate: m.WriteGate | None = None) -> bool:
-        self.said.append(json.loads(message))
+    def post(self, message: bytes, tag: str = "", gate: model.WriteGate | None = None) -> bool:
+        self.sent.append(json.loads(message))
         return True
 
-    def every(self, event: m.Event) -> int:
-        if not isinstance(event, m.CallerConnected):
-            self.put.append(event)
-        if isinstance(event, m.CallerRejected):
-            for call in sorted(self.owed):
-                assert event.caller.notify(m.Failed(call, m.CAUSE_INVALID))
-            self.owed.clear()
+    def broadcast(self, event: model.Event) -> int:
+        if not isinstance(event, model.CallerConnected):
+            self.events.append(event)
+        if isinstance(event, model.CallerRejected):
+            for call in sorted(self.pending):
+                assert event.caller.notify(model.Failed(call, model.CAUSE_INVALID))
+            self.pending.clear()
             event.done()
         return 1
 
     def send(self, line: bytes) -> None:
-        """As the connection does: what ends in OverError is hung up on after the last words."""
+        """Pass a line to the session; like the connection, handle a violation and close after OverError."""
         try:
-            self.session._message(line)
-        except OverError as over:
-            assert over.foul
-            self.session._foul(str(over))
-            self.gone = True
-            assert not self.owed, "a call without its outcome"
-            assert self.said[-1]["id"] == "" and self.said[-1]["cause"] == m.CAUSE_INVALID
-
-    def fresh(self) -> str:
+            self.session._on_message(line)
+        except OverError as error:
+            assert error.foul
+            self.session._on_violation(str(error))
+            self.closed = True
+            assert not self.pending, "a call without its outcome"
+            assert self.sent[-1]["id"] == "" and self.sent[-1]["cause"] == model.CAUSE_INVALID
+
+    def new_call_id(self) -> str:
         self.count += 1
         return f"{self.count:016x}"
 
-    @precondition(lambda self: not self.gone)
+    @precondition(lambda self: not self.closed)
     @rule(target=calls, many=st.integers(1, 90))
     def asks(self, many: int) -> str:
         for _ in range(many):
-            call, before, room = self.fresh(), len(self.put), len(self.owed) < front.OPEN + self.stood
+            call, before, room = (
+                self.new_call_id(),
+                len(self.events),
+                len(self.pending) < session_module.BASE_OPEN_SET_UPS + self.established,
+            )
             self.send(set_up(call))
-            if self.gone:
+            if self.closed:
                 return call
             if room:
-                self.owed.add(call)
-                event = self.put[-1]
-                assert isinstance(event, m.SetUpReceived) and event.request.id == call
+                self.pending.add(call)
+                event = self.events[-1]
+                assert isinstance(event, model.SetUpReceived) and event.request.id == call
             else:
-                assert len(self.put) == before, "over its bound, and passed on"
-                assert (self.said[-1]["id"], self.said[-1]["cause"]) == (call, m.CAUSE_NO_CAPACITY)
-                assert self.said[-1]["fields"] == {"wait": "1000"}
+                assert len(self.events) == before, "forwarded although the limit was reached"
+                assert (self.sent[-1]["id"], self.sent[-1]["cause"]) == (call, model.CAUSE_NO_CAPACITY)
+                assert self.sent[-1]["fields"] == {"wait": "1000"}
         return call
 
-    @precondition(lambda self: not self.gone)
+    @precondition(lambda self: not self.closed)
     @rule(changes=st.sampled_from(UNUSABLE))
     def asks_what_cannot_be_used(self, changes: dict[str, Any]) -> None:
-        call, before = self.fresh(), len(self.put)
+        call, before = self.new_call_id(), len(self.events)
         self.send(set_up(call, **changes))
-        self.strikes += 1
-        told = self.said[-2] if self.gone else self.said[-1]
-        assert self.gone is (self.strikes > front.STRIKES) or self.session._credit < 0
-        if not self.gone:
-            assert (told["id"], told["cause"]) == (call, m.CAUSE_INVALID)
-            assert len(self.put) == before, "passed on"
-
-    @precondition(lambda self: not self.gone)
+        self.unusable += 1
+        notified = self.sent[-2] if self.closed else self.sent[-1]
+        assert (
+            self.closed is (self.unusable > session_module.MAX_UNUSABLE_SET_UPS)
+            or self.session._message_tokens < 0
+        )
+        if not self.closed:
+            assert (notified["id"], notified["cause"]) == (call, model.CAUSE_INVALID)
+            assert len(self.events) == before, "an unusable set-up was forwarded"
+
+    @precondition(lambda self: not self.closed)
     @rule(line=st.sampled_from(UNREADABLE))
     def sends_what_cannot_be_read(self, line: bytes) -> None:
         self.send(line)
-        assert self.gone
+        assert self.closed
 
-    @precondition(lambda self: not self.gone)
+    @precondition(lambda self: not self.closed)
     @rule(call=calls)
     def asks_again_under_the_same_id(self, call: str) -> None:
-        if call in self.owed:
+        if call in self.pending:
             self.send(set_up(call))
-            assert self.gone
+            assert self.closed
 
-    @precondition(lambda self: not self.gone)
+    @precondition(lambda self: not self.closed)
     @rule(call=calls, many=st.integers(1, 200))
     def takes_back(self, call: str, many: int) -> None:
         for _ in range(many):
-            if not self.gone:
+            if not self.closed:
                 self.send(json.dumps({"type": "release", "id": call, "cause": 16}).encode())
-        if not self.gone and call in self.owed:
+        if not self.closed and call in self.pending:
             self.session.call_ended(call)
-            self.owed.discard(call)
+            self.pending.discard(call)
 
     @rule(target=standing, call=consumes(calls))
     def stands(self, call: str) -> str:
-        if call in self.owed or self.gone:
-            told = self.session.notify(m.Answered(call, "v=0"))
-            assert told is not self.gone, "served, though it is hung up on"
-            self.owed.discard(call)
-            if told:
-                self.stood += 1
-                self.strikes = max(0, self.strikes - 1)
+        if call in self.pending or self.closed:
+            notified = self.session.notify(model.Answered(call, "v=0"))
+            assert notified is not self.closed, "an answer was sent although the session is closed"
+            self.pending.discard(call)
+            if notified:
+                self.established += 1
+                self.unusable = max(0, self.unusable - 1)
         return call
 
-    @precondition(lambda self: not self.gone)
+    @precondition(lambda self: not self.closed)
     @rule(many=st.integers(1, 400))
     def ends_calls_set_up_elsewhere(self, many: int) -> None:
-        """Any connection will do for that: it has an effect, and is never held against the caller."""
-        before = self.session._credit
+        """Calls may be released on any connection; each such release restores the token that it costs."""
+        before = self.session._message_tokens
         for _ in range(many):
-            self.send(json.dumps({"type": "release", "id": self.fresh(), "cause": 16}).encode())
+            self.send(json.dumps({"type": "release", "id": self.new_call_id(), "cause": 16}).encode())
             self.session.call_ended(f"{self.count:016x}")
-        assert not self.gone
-        assert self.session._credit >= min(before, front.MOST_CREDIT)
+        assert not self.closed
+        assert self.session._message_tokens >= min(before, session_module.MAX_MESSAGE_TOKENS)
 
     @rule(call=consumes(standing))
     def is_over(self, call: str) -> None:
-        self.session.notify(m.Ended(call, 16))
+        self.session.notify(model.Ended(call, 16))
 
     @rule(by_ms=st.floats(1.0, 20000.0))
     def time_goes_by(self, by_ms: float) -> None:
@@ -215,20 +224,20 @@
 
     @invariant()
     def keeps_only_what_is_open_or_stands(self) -> None:
-        assert set(self.session._open) == self.owed
-        assert self.session._house._bytes == sum(self.session._open.values())
-        assert len(self.session._stands) <= self.stood
-        busy = bool(self.owed or self.session._stands)
-        due_ms = self.session._due(float("inf"))
-        if self.session.silent:
-            assert due_ms == self.session.at_ms + front.FIRST_MS
+        assert set(self.session._open) == self.pending
+        assert self.session._context._description_bytes == sum(self.session._open.values())
+        assert len(self.session._established) <= self.established
+        busy = bool(self.pending or self.session._established)
+        due_ms = self.session._read_deadline_ms(float("inf"))
+        if self.session.awaiting_first_message:
+            assert due_ms == self.session.last_activity_ms + session_module.FIRST_MESSAGE_TIMEOUT_MS
         else:
             assert (due_ms < float("inf")) is not busy
-        assert self.session._due(5.0) == 5.0 + front.HALF_MS
-        if self.gone:
-            before = len(self.put) + len(self.said)
-            self.session._message(set_up(self.fresh()))
-            assert len(self.put) + len(self.said) == before, "taken though it is hung up on"
+        assert self.session._read_deadline_ms(5.0) == 5.0 + session_module.PARTIAL_MESSAGE_TIMEOUT_MS
+        if self.closed:
+            before = len(self.events) + len(self.sent)
+            self.session._on_message(set_up(self.new_call_id()))
+            assert len(self.events) + len(self.sent) == before, "a message was handled after the close"
 
 
 TestCaller = Caller.TestCase
@@ -239,18 +248,20 @@
 
 @pytest.fixture
 def callers(monkeypatch: pytest.MonkeyPatch) -> Any:
-    """A front with two places, and its clients' way in; its times are short."""
-    for name in ("FIRST_MS", "HALF_MS", "IDLE_MS"):
-        monkeypatch.setattr(front, name, 30.0)
-    events: queue.SimpleQueue[m.Event] = queue.SimpleQueue()
+    """A front with two session slots and short timeouts: a connect function and the events it forwards."""
+    for name in ("FIRST_MESSAGE_TIMEOUT_MS", "PARTIAL_MESSAGE_TIMEOUT_MS", "IDLE_TIMEOUT_MS"):
+        monkeypatch.setattr(session_module, name, 30.0)
+    events: queue.SimpleQueue[model.Event] = queue.SimpleQueue()
 
-    def every(event: m.Event) -> int:
-        if isinstance(event, m.CallerRejected):
+    def broadcast(event: model.Event) -> int:
+        if isinstance(event, model.CallerRejected):
             event.done()
         return 1
 
-    house = front.House(SystemClock(), TERMS, lambda call: events.put, every, lambda: True, False)
-    listener = Listener("127.0.0.1:0", lambda full: None if full else Lines(), 2, house)
+    context = session_module.FrontContext(
+        SystemClock(), TERMS, lambda call: events.put, broadcast, lambda: True, False
+    )
+    listener = Listener("127.0.0.1:0", lambda full: None if full else Lines(), 2, context)
     listener.start()
 
     def connect() -> socket.socket:
@@ -263,7 +274,7 @@
     listener.close_all()
 
 
-def heard_to_the_end(sock: socket.socket) -> bytes:
+def read_until_closed(sock: socket.socket) -> bytes:
     found = b""
     try:
         while more := sock.recv(4096):
@@ -284,32 +295,34 @@
     ],
     ids=["silent", "half", "half a set-up", "too long", "then idle"],
 )
-def test_callers_that_say_nothing_or_half_or_too_much_are_hung_up_on(callers: Any, sends: bytes) -> None:
+def test_callers_that_send_nothing_partial_or_oversized_messages_are_disconnected(
+    callers: Any, sends: bytes
+) -> None:
     connect, events = callers
     sock = connect()
     sock.sendall(sends)
-    heard_to_the_end(sock)
+    read_until_closed(sock)
     assert events.empty()
 
 
-def test_a_full_front_makes_room_but_not_at_the_cost_of_a_call(
+def test_a_full_front_evicts_idle_sessions_but_none_with_a_call(
     callers: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     connect, events = callers
-    for name in ("FIRST_MS", "IDLE_MS"):
-        monkeypatch.setattr(front, name, 1e9)
+    for name in ("FIRST_MESSAGE_TIMEOUT_MS", "IDLE_TIMEOUT_MS"):
+        monkeypatch.setattr(session_module, name, 1e9)
     first = connect()
     first.sendall(set_up("a" * 16) + b"\n")
     assert events.get(timeout=PATIENCE_S).request.id == "a" * 16
     silent, second = connect(), connect()
-    assert heard_to_the_end(silent) == b""
+    assert read_until_closed(silent) == b""
     second.sendall(set_up("b" * 16) + b"\n")
-    came = events.get(timeout=PATIENCE_S)
-    assert came.request.id == "b" * 16
-    assert heard_to_the_end(connect()) == b"", "no room: both others have a call"
-    came.caller.notify(m.Failed("b" * 16))
+    received = events.get(timeout=PATIENCE_S)
+    assert received.request.id == "b" * 16
+    assert read_until_closed(connect()) == b"", "rejected, because both sessions have a call"
+    received.caller.notify(model.Failed("b" * 16))
     assert json.loads(second.recv(4096))["cause"] == 17
     third = connect()
-    assert heard_to_the_end(second) == b""
+    assert read_until_closed(second) == b""
     third.sendall(set_up("c" * 16) + b"\n")
     assert events.get(timeout=PATIENCE_S).request.id == "c" * 16
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A flood of clients that say nothing and never hang up: list, links and callers keep their descriptors."""
+"""Floods of silent connections that never close: list, links and callers keep their file descriptors."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 import pytest
 
-from capershelf.core import model as m
+from capershelf.core import model
 from capershelf.core.clock import ManualClock, SystemClock
-from capershelf.fronts import listener as door
-from capershelf.fronts import session as front
-from capershelf.fronts.session import House
+from capershelf.fronts import listener as listener_module
+from capershelf.fronts import session as session_module
+from capershelf.fronts.session import FrontContext
 from capershelf.net.addresses import parse_endpoint
 from capershelf.net.framing import Lines
 from capershelf.net.links import LATER_MS, Link, Repairs
@@ -33,18 +33,20 @@
 
 
 @pytest.fixture
-def listener(monkeypatch: pytest.MonkeyPatch) -> Iterator[door.Listener]:
-    """A front with few places, whose own times for the silent are far off."""
-    for name in ("FIRST_MS", "HALF_MS", "IDLE_MS"):
-        monkeypatch.setattr(front, name, 1e9)
-    events: queue.SimpleQueue[m.Event] = queue.SimpleQueue()
+def listener(monkeypatch: pytest.MonkeyPatch) -> Iterator[listener_module.Listener]:
+    """A front with few session slots, whose timeouts for silent connections never expire."""
+    for name in ("FIRST_MESSAGE_TIMEOUT_MS", "PARTIAL_MESSAGE_TIMEOUT_MS", "IDLE_TIMEOUT_MS"):
+        monkeypatch.setattr(session_module, name, 1e9)
+    events: queue.SimpleQueue[model.Event] = queue.SimpleQueue()
 
-    def every(event: m.Event) -> int:
+    def broadcast(event: model.Event) -> int:
         events.put(event)
         return 1
 
-    house = House(SystemClock(), Terms.of(settings()), lambda call: events.put, every, lambda: True, False)
-    made = door.Listener("127.0.0.1:0", lambda full: None if full else Lines(), MOST, house)
+    context = FrontContext(
+        SystemClock(), Terms.of(settings()), lambda call: events.put, broadcast, lambda: True, False
+    )
+    made = listener_module.Listener("127.0.0.1:0", lambda full: None if full else Lines(), MOST, context)
     made.start()
     yield made
     made.stop_accepting()
@@ -52,12 +54,12 @@
 
 
 @pytest.mark.parametrize("says", [b"", HALF, b'{"type":"ping","id":"1"}\n'], ids=["silent", "half", "idle"])
-def test_clients_that_never_hang_up_hold_no_more_places_than_there_are(
-    listener: door.Listener, says: bytes, monkeypatch: pytest.MonkeyPatch
+def test_clients_that_never_disconnect_do_not_exceed_the_session_limit(
+    listener: listener_module.Listener, says: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """None of them ever closes its end; a caller with a call keeps its place, a new one finds one."""
-    monkeypatch.setattr(door, "MOST_ROOM", 1e9)
-    listener._may = 1e9
+    """No client closes its end.  A caller with a call keeps its session, and a new caller is admitted."""
+    monkeypatch.setattr(listener_module, "EVICTION_BURST", 1e9)
+    listener._eviction_tokens = 1e9
     held: list[int] = []
     admit = listener._admit
 
@@ -70,40 +72,46 @@
     working = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
     fields = {"class": "usual", "left": "5000"}
     working.say("setup", "00000000000000a1", fields=fields, sdp="v=0")
-    until(lambda: listener._house.owed == 1)
+    until(lambda: listener._context.pending_set_ups == 1)
     idle = []
     for number in range(6 * MOST):
         sock = socket.create_connection(address)
         sock.sendall(says)
         until(lambda number=number: len(held) == number + 2)  # type: ignore[misc]
-        if says:  # it has been read: no message of theirs is on its way
-            until(lambda: all(one.connection.half() or not one.silent for one in listener._sessions))
+        if says:  # wait until it has been read, so that no message is in flight
+            until(
+                lambda: all(
+                    one.connection.half() or not one.awaiting_first_message for one in listener._sessions
+                )
+            )
         idle.append(sock)
-    assert max(held) <= MOST, "let in before a place was free"
+    assert max(held) <= MOST, "admitted before a slot was free"
     late = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
     late.say("setup", "00000000000000a2", fields=fields, sdp="v=0")
-    until(lambda: listener._house.owed == 2)
+    until(lambda: listener._context.pending_set_ups == 2)
     assert not working.closed.is_set()
     for sock in idle:
         sock.close()
 
 
-def test_a_newcomer_finds_room_though_of_the_oldest_silent_clients_something_lies_unread(
-    listener: door.Listener,
+def test_a_newcomer_is_admitted_although_the_oldest_silent_clients_have_unread_data(
+    listener: listener_module.Listener,
 ) -> None:
-    """Their threads have not come to reading it, as under load; the others that say nothing go."""
+    """Under load their threads have not read it yet; the other silent connections are evicted instead."""
     address = ("127.0.0.1", listener.port)
     idle = []
     for number in range(MOST):
         idle.append(socket.create_connection(address))
         until(lambda number=number: len(listener._sessions) == number + 1)  # type: ignore[misc]
-    oldest = sorted(listener._sessions, key=lambda session: session.at_ms)[: door.ROOM]
+    oldest = sorted(listener._sessions, key=lambda session: session.last_activity_ms)[
+        : listener_module.EVICTION_BATCH
+    ]
     for session in oldest:
         session.connection._busy = True
     late = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
     late.say("setup", "00000000000000a2", fields={"class": "usual", "left": "5000"}, sdp="v=0")
-    until(lambda: listener._house.owed == 1 or late.closed.is_set())
-    assert not late.closed.is_set() and listener._house.owed == 1
+    until(lambda: listener._context.pending_set_ups == 1 or late.closed.is_set())
+    assert not late.closed.is_set() and listener._context.pending_set_ups == 1
     assert all(session in listener._sessions for session in oldest)
     for session in oldest:
         session.connection._busy = False
@@ -111,7 +119,9 @@
         sock.close()
 
 
-def test_a_flood_while_the_board_is_down_leaves_the_list_the_links_and_callers_theirs(tmp_path: Path) -> None:
+def test_a_flood_while_the_board_is_down_leaves_descriptors_for_list_links_and_callers(
+    tmp_path: Path,
+) -> None:
     limit, server = 96, BookingServer(False)
     with socket.create_server(("127.0.0.1", 0)) as free, socket.create_server(("127.0.0.1", 0)) as other:
         listen, board_port = f"127.0.0.1:{free.getsockname()[1]}", other.getsockname()[1]
@@ -148,18 +158,18 @@
             crowd.append(socket.create_connection(parse_endpoint(listen)))
             crowd[-1].sendall(HALF if number % 3 == 0 else b"")
             most = max(most, descriptors())
-        call(worker, 2)  # a caller from before
-        # A new one, and the list: it is back at the address where it was.
+        call(worker, 2)  # on a connection older than the flood
+        # A new caller; then the notice board comes back at its old address.
         call(Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue()), 3)
         board = BoardStandIn(board_port)
         assert board.poll() == "3"
         link.leave()
-        link = server.peer()  # and a link is made anew
+        link = server.peer()  # the link is re-established
         call(worker, 4)
         assert max(most, descriptors()) < limit
         assert program.process.poll() is None
         program.process.send_signal(signal.SIGTERM)
-        for number in (1, 2, 3, 4):  # a call may be ended on any connection
+        for number in (1, 2, 3, 4):  # a call may be released on any connection
             worker.say("release", f"{number:016x}", cause=16)
         assert program.process.wait(PATIENCE_S) == 0
     finally:
@@ -178,7 +188,7 @@
 
 @pytest.mark.parametrize("planners", [1, 4])
 @pytest.mark.parametrize("sockets", [75, 96, 128, 256, 512, 1024, 65536])
-def test_what_callers_links_and_the_rest_may_hold_is_never_more_than_the_limit(
+def test_descriptor_shares_of_callers_links_and_the_rest_stay_within_the_limit(
     sockets: int, planners: int
 ) -> None:
     callers, links = share(sockets, planners)
@@ -186,8 +196,8 @@
     assert callers <= sockets // 3 and links >= LEAST_LINKS
 
 
-def session_on(near: socket.socket) -> front.Session:
-    house = House(
+def session_on(near: socket.socket) -> session_module.Session:
+    context = FrontContext(
         SystemClock(),
         Terms.of(settings()),
         lambda call: lambda event: None,
@@ -195,12 +205,12 @@
         lambda: True,
         False,
     )
-    house.ended = lambda session: None
-    return front.Session(near, Lines(), "127.0.0.1:1", house)
+    context.on_session_ended = lambda session: None
+    return session_module.Session(near, Lines(), "127.0.0.1:1", context)
 
 
-def test_a_set_up_in_the_moment_of_an_idle_connections_close_is_kept_or_crosses_the_close() -> None:
-    """Its session is held up: what lies in the socket is not read yet."""
+def test_a_set_up_arriving_as_an_idle_connection_closes_is_kept_or_crosses_the_close() -> None:
+    """The session's thread is delayed, so the data in the socket is still unread."""
     line = (
         json.dumps(
             {
@@ -215,17 +225,17 @@
     near, far = socket.socketpair()
     session = session_on(near)
     far.sendall(line)
-    assert not session.retire("full", at_once=True), "it would be closed on unread"
-    assert session.connection.step(True) and not session.spare()
-    assert not session.retire("full", at_once=True), "a set-up is open on it"
+    assert not session.close_if_idle("full", at_once=True), "it would be closed with unread data"
+    assert session.connection.step(True) and not session.is_idle()
+    assert not session.close_if_idle("full", at_once=True), "a set-up is open on it"
     near, far = socket.socketpair()
     session = session_on(near)
-    assert session.retire("full", at_once=True)
-    assert far.recv(1) == b"", "its client sees the close, and sends what crosses it once more"
+    assert session.close_if_idle("full", at_once=True)
+    assert far.recv(1) == b"", "its client sees the close and resends what crossed it"
 
 
 class NoPoller:
-    """Notes what it is told to do, and does none of it."""
+    """A poller that ignores every request."""
 
     def do(self, what: Any) -> None: ...
     def at(self, at_ms: float, what: Any) -> None: ...
@@ -233,7 +243,7 @@
     def forget(self, sock: socket.socket) -> None: ...
 
 
-def test_links_that_fall_silent_together_are_replaced_few_at_a_time() -> None:
+def test_links_that_fall_silent_together_are_replaced_a_few_at_a_time() -> None:
     clock, repairs = ManualClock(), Repairs(2)
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = "{}:{}".format(*server.getsockname())
@@ -247,7 +257,7 @@
         assert [link._dial is not None for link in links] == [True, True, False, False]
         assert links[2]._due(math.inf) >= clock.now_ms() + LATER_MS
         links[0]._dialled(None, ConnectionRefusedError())
-        assert links[3]._late() and links[3]._dial is not None, "a place is free again"
+        assert links[3]._late() and links[3]._dial is not None, "a slot is free again"
         for link in links:
             link._end()
         assert repairs._left == 2
--- a/tests/test_logging.py
+++ b/tests/test_logging.py
@@ -27,7 +27,7 @@
         if not (isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute)):
             continue
         owner = node.func.value
-        if not isinstance(owner, ast.Name) or owner.id not in ("logger", "MUFFLE"):
+        if not isinstance(owner, ast.Name) or owner.id not in ("logger", "WARNING_LIMITER"):
             continue
         if node.func.attr not in LEVELS:
             continue
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -13,7 +13,7 @@
 
 from capershelf.core import model as m
 from capershelf.core.clock import ManualClock
-from capershelf.fronts.session import CREDIT
+from capershelf.fronts.session import INITIAL_MESSAGE_TOKENS
 from capershelf.interface import ListedServer, ServerStatus
 from capershelf.net.connection import start_thread
 from capershelf.net.links import HALF_MS, HEAR_OUT_MS, LATES, Link
@@ -311,8 +311,8 @@
         assert outcome(stage.servers[0].hear())[:3] == ("release", call, 16)
     stage.settle()
     sessions = stage.node.fronts[1 if stage.websocket else 0]._sessions
-    assert min(session._credit for session in sessions) >= CREDIT - 1.0
-    assert not any(session._stands for session in sessions)
+    assert min(session._message_tokens for session in sessions) >= INITIAL_MESSAGE_TOKENS - 1.0
+    assert not any(session._established for session in sessions)
 
 
 def test_a_caller_that_is_hung_up_on_gets_the_outcomes_it_is_owed(stage: Stage) -> None:
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -10,7 +10,7 @@
 from capershelf import config as configuration
 from capershelf.core import clock as clocks
 from capershelf.core.clock import BACKLOG_MS, Standstill, SystemClock
-from capershelf.fronts.session import LEAST_LEFT_MS
+from capershelf.fronts.session import MIN_REMAINING_MS
 from capershelf.node import Node
 from capershelf.registry.board import FRESH_MS
 from tests.peers import OPERATOR, Peer, Stage
@@ -84,10 +84,10 @@
     now_ms = stage.clock.now_ms()
     stage.clock.standstill = Standstill(now_ms - STOOD_MS, now_ms)
     assert time_given(stage, caller, A, 4000) <= 4000.0 - STOOD_MS
-    assert time_given(stage, caller, B, 2250) <= LEAST_LEFT_MS
-    stage.advance(LEAST_LEFT_MS)
+    assert time_given(stage, caller, B, 2250) <= MIN_REMAINING_MS
+    stage.advance(MIN_REMAINING_MS)
     assert caller.hear()["id"] == B
-    stage.advance(4000.0 - STOOD_MS - LEAST_LEFT_MS)
+    stage.advance(4000.0 - STOOD_MS - MIN_REMAINING_MS)
     assert caller.hear()["id"] == A
 
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -18,7 +18,7 @@
 from capershelf.core.clock import ManualClock, SystemClock
 from capershelf.core.planner import Planner
 from capershelf.fronts.listener import Listener
-from capershelf.fronts.session import House
+from capershelf.fronts.session import FrontContext
 from capershelf.net.addresses import parse_endpoint
 from capershelf.net.connection import Connection, start_thread
 from capershelf.net.framing import Lines
@@ -121,7 +121,7 @@
 
     def __init__(self) -> None:
         self.put = queue.SimpleQueue[m.Event]()
-        self.house = House(
+        self.house = FrontContext(
             SystemClock(), Terms.of(SETTINGS), lambda call: self.put.put, self.every, lambda: True, False
         )
         self.listener = Listener("127.0.0.1:0", lambda full: Lines(), 10, self.house)
@@ -184,14 +184,14 @@
     while not isinstance(came := door.put.get(timeout=PATIENCE_S), m.SetUpReceived):
         pass
     door.house.close()
-    assert door.house.owed == 1
+    assert door.house.pending_set_ups == 1
     door.set_up(caller, "00000000000000a2")
     assert caller.hear()["id"] == "00000000000000a2"
     came.caller.notify(m.Refused(came.request.id))
     assert isinstance(door.put.get(timeout=PATIENCE_S), m.InboxBarrier), (
         "the planner that waits for it is woken"
     )
-    assert door.house.owed == 0
+    assert door.house.pending_set_ups == 0
     door.listener.stop_accepting()
     door.listener.close_all()
 
