--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -28,8 +28,8 @@
 from tests.rig import settings
 from tests.test_reload import BoardStandIn, Program, table
 
-MOST = 8
-HALF = b'{"type":"setup","id":"'
+MAX_SESSIONS = 8
+PARTIAL_SET_UP = b'{"type":"setup","id":"'
 
 
 @pytest.fixture
@@ -46,38 +46,42 @@
     context = FrontContext(
         SystemClock(), Terms.of(settings()), lambda call: events.put, broadcast, lambda: True, False
     )
-    made = listener_module.Listener("127.0.0.1:0", lambda full: None if full else Lines(), MOST, context)
+    made = listener_module.Listener(
+        "127.0.0.1:0", lambda full: None if full else Lines(), MAX_SESSIONS, context
+    )
     made.start()
     yield made
     made.stop_accepting()
     made.close_all()
 
 
-@pytest.mark.parametrize("says", [b"", HALF, b'{"type":"ping","id":"1"}\n'], ids=["silent", "half", "idle"])
+@pytest.mark.parametrize(
+    "says", [b"", PARTIAL_SET_UP, b'{"type":"ping","id":"1"}\n'], ids=["silent", "half", "idle"]
+)
 def test_clients_that_never_disconnect_do_not_exceed_the_session_limit(
     listener: listener_module.Listener, says: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """No client closes its end.  A caller with a call keeps its session, and a new caller is admitted."""
     monkeypatch.setattr(listener_module, "EVICTION_BURST", 1e9)
     listener._eviction_tokens = 1e9
-    held: list[int] = []
+    session_counts: list[int] = []
     admit = listener._admit
 
     def counted(sock: socket.socket, name: str) -> None:
         admit(sock, name)
-        held.append(len(listener._sessions))
+        session_counts.append(len(listener._sessions))
 
     monkeypatch.setattr(listener, "_admit", counted)
     address = ("127.0.0.1", listener.port)
-    working = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
+    active = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
     fields = {"class": "usual", "left": "5000"}
-    working.say("setup", "00000000000000a1", fields=fields, sdp="v=0")
+    active.say("setup", "00000000000000a1", fields=fields, sdp="v=0")
     until(lambda: listener._context.pending_set_ups == 1)
     idle = []
-    for number in range(6 * MOST):
+    for number in range(6 * MAX_SESSIONS):
         sock = socket.create_connection(address)
         sock.sendall(says)
-        until(lambda number=number: len(held) == number + 2)  # type: ignore[misc]
+        until(lambda number=number: len(session_counts) == number + 2)  # type: ignore[misc]
         if says:  # wait until it has been read, so that no message is in flight
             until(
                 lambda: all(
@@ -85,11 +89,11 @@
                 )
             )
         idle.append(sock)
-    assert max(held) <= MOST, "admitted before a slot was free"
-    late = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
-    late.say("setup", "00000000000000a2", fields=fields, sdp="v=0")
+    assert max(session_counts) <= MAX_SESSIONS, "admitted before a slot was free"
+    newcomer = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
+    newcomer.say("setup", "00000000000000a2", fields=fields, sdp="v=0")
     until(lambda: listener._context.pending_set_ups == 2)
-    assert not working.closed.is_set()
+    assert not active.closed.is_set()
     for sock in idle:
         sock.close()
 
@@ -100,7 +104,7 @@
     """Under load their threads have not read it yet; the other silent connections are evicted instead."""
     address = ("127.0.0.1", listener.port)
     idle = []
-    for number in range(MOST):
+    for number in range(MAX_SESSIONS):
         idle.append(socket.create_connection(address))
         until(lambda number=number: len(listener._sessions) == number + 1)  # type: ignore[misc]
     oldest = sorted(listener._sessions, key=lambda session: session.last_activity_ms)[
@@ -108,10 +112,10 @@
     ]
     for session in oldest:
         session.connection._busy = True
-    late = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
-    late.say("setup", "00000000000000a2", fields={"class": "usual", "left": "5000"}, sdp="v=0")
-    until(lambda: listener._context.pending_set_ups == 1 or late.closed.is_set())
-    assert not late.closed.is_set() and listener._context.pending_set_ups == 1
+    newcomer = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
+    newcomer.say("setup", "00000000000000a2", fields={"class": "usual", "left": "5000"}, sdp="v=0")
+    until(lambda: listener._context.pending_set_ups == 1 or newcomer.closed.is_set())
+    assert not newcomer.closed.is_set() and listener._context.pending_set_ups == 1
     assert all(session in listener._sessions for session in oldest)
     for session in oldest:
         session.connection._busy = False
@@ -134,8 +138,8 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     program = Program(path, sockets=limit)
-    crowd: list[socket.socket] = []
-    most = 0
+    flood: list[socket.socket] = []
+    peak = 0
 
     def descriptors() -> int:
         return len(os.listdir(f"/proc/{program.process.pid}/fd"))
@@ -155,9 +159,9 @@
 
         call(worker, 1)
         for number in range(3 * limit):
-            crowd.append(socket.create_connection(parse_endpoint(listen)))
-            crowd[-1].sendall(HALF if number % 3 == 0 else b"")
-            most = max(most, descriptors())
+            flood.append(socket.create_connection(parse_endpoint(listen)))
+            flood[-1].sendall(PARTIAL_SET_UP if number % 3 == 0 else b"")
+            peak = max(peak, descriptors())
         call(worker, 2)  # on a connection older than the flood
         # A new caller; then the notice board comes back at its old address.
         call(Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue()), 3)
@@ -166,7 +170,7 @@
         link.leave()
         link = server.peer()  # the link is re-established
         call(worker, 4)
-        assert max(most, descriptors()) < limit
+        assert max(peak, descriptors()) < limit
         assert program.process.poll() is None
         program.process.send_signal(signal.SIGTERM)
         for number in (1, 2, 3, 4):  # a call may be released on any connection
@@ -175,11 +179,11 @@
     finally:
         program.process.kill()
         program.process.wait()
-        for sock in crowd:
+        for sock in flood:
             sock.close()
 
 
-def share(sockets: int, planners: int = 1) -> tuple[int, int]:
+def descriptor_shares(sockets: int, planners: int = 1) -> tuple[int, int]:
     from capershelf.config import read
 
     config = read(table("") | {"limits": {"sockets": sockets, "memory_mb": 4096}, "planners": planners}, {})
@@ -191,7 +195,7 @@
 def test_descriptor_shares_of_callers_links_and_the_rest_stay_within_the_limit(
     sockets: int, planners: int
 ) -> None:
-    callers, links = share(sockets, planners)
+    callers, links = descriptor_shares(sockets, planners)
     assert callers + links + OWN_SOCKETS <= sockets or sockets < OWN_SOCKETS + (LEAST_LINKS + 1) * planners
     assert callers <= sockets // 3 and links >= LEAST_LINKS
 
