--- a/capershelf/memory/ageing.py
+++ b/capershelf/memory/ageing.py
@@ -15,7 +15,7 @@
 
 from dataclasses import dataclass, replace
 
-from capershelf.control import LEAST_THRESHOLD
+from capershelf.control import MIN_THRESHOLD
 from capershelf.interface import LearnedServer
 from capershelf.memory.records import Book, ServerRecord
 
@@ -81,7 +81,7 @@
     threshold = record.threshold
     if threshold is not None:
         claimed = threshold_weight >= LEAST_WEIGHT
-        threshold = max(LEAST_THRESHOLD, threshold * part / threshold_weight) if claimed else None
+        threshold = max(MIN_THRESHOLD, threshold * part / threshold_weight) if claimed else None
     rate = record.rate_per_s * part * weight(clocks.age_ms(record.rate_ms), lives.rate_ms)
     return LearnedServer(
         record.uid,
--- a/capershelf/stream/takeover.py
+++ b/capershelf/stream/takeover.py
@@ -58,7 +58,7 @@
     try:
         config = configuration.read(kept, environ)
         configuration.read(wanted, environ)  # what the next start would read must be readable too
-        control.check(config.settings)
+        control.validate(config.settings)
     except (ValueError, TypeError, KeyError, AttributeError) as problem:
         return Offence("senseless", "", str(problem))
     return TakeOver(config, notes)
--- a/lab/capacity/server_role.py
+++ b/lab/capacity/server_role.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from capershelf.control import PROBES_S
+from capershelf.control import MAX_PROBES_PER_S
 from lab.capacity import booking_servers
 from lab.capacity.booking_servers import message
 from lab.capacity.event_loop import EventLoop, LineChannel
@@ -39,7 +39,7 @@
         host, _, port = options.address.rpartition(":")
         self._channels = [self._connect((host, int(port))) for _ in range(options.count)]
         self._number = 0
-        loop.call_later(1.0 / PROBES_S, self._probe)
+        loop.call_later(1.0 / MAX_PROBES_PER_S, self._probe)
 
     def command(self, command: Any) -> Any:
         raise TypeError(f"unknown command {command!r}")
@@ -51,7 +51,7 @@
         self._number += 1
         channel = self._channels[self._number % len(self._channels)]
         channel.send(message("ping", f"{self._number:016x}", cause=1))
-        self._loop.call_later(1.0 / PROBES_S, self._probe)
+        self._loop.call_later(1.0 / MAX_PROBES_PER_S, self._probe)
 
 
 def measure(proxies: int, seconds: float) -> dict[str, Any]:
--- a/lab/spread.py
+++ b/lab/spread.py
@@ -112,7 +112,7 @@
             case api.AttemptEnded() if event.call in self._calls and not event.call_finished:
                 self._calls[event.call][1].add(event.server)
                 ran = event.result in (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED)
-                if not ran and len(self._calls[event.call][1]) < control.TRIES:
+                if not ran and len(self._calls[event.call][1]) < control.MAX_FULL_ANSWERS:
                     return self._send(now_ms, event.call)
                 del self._calls[event.call]
                 return [api.Refuse(event.call)]
@@ -331,22 +331,22 @@
 
     @staticmethod
     def _belief(controller: Any, gate: Any) -> str:
-        if gate.silent:
-            return "failing" if gate.failing else "silent"
-        if gate.flagged:
+        if gate.ejected:
+            return "failing" if gate.ejected_for_errors else "silent"
+        if gate.overloaded:
             now_ms = controller.now_ms
-            if gate.wait_ms(now_ms, controller.woke_ms) > controller.limit_ms:
-                oldest = gate.oldest()
-                if gate.seen_wait_ms <= controller.limit_ms:
+            if gate.estimated_wait_ms(now_ms, controller.stall_ended_ms) > controller.wait_limit_ms:
+                oldest = gate.oldest_pending()
+                if gate.observed_wait_ms <= controller.wait_limit_ms:
                     return "flagged: its oldest set-up's age"
-                stale = now_ms - gate.seen_at_ms > 500.0 and oldest is None
+                stale = now_ms - gate.observed_at_ms > 500.0 and oldest is None
                 return "flagged: a wait seen long ago" if stale else "flagged: a wait seen"
             return "flagged: ratio" if gate.ratio_high else "flagged: threshold"
         if gate.free_lines is not None and gate.free_lines < 1.0:
             return "no free line"
         if not controller.in_cold_budget(gate):
             return "cold budget"
-        return "paced" if controller.now_ms < gate.next_ms else "two were full, or its time was over"
+        return "paced" if controller.now_ms < gate.paced_until_ms else "two were full, or its time was over"
 
     # -- callers --------------------------------------------------------------------------------------
     def _dial(self, arrival: Arrival, tries: int) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -37,11 +37,11 @@
 
 def listed(
     server: str,
-    place: int,
-    standing: api.ServerStatus = api.ServerStatus.ACTIVE,
+    pool: int,
+    status: api.ServerStatus = api.ServerStatus.ACTIVE,
     started_ms: float | None = None,
 ) -> api.ListedServer:
-    return api.ListedServer(server, place, standing, started_ms)
+    return api.ListedServer(server, pool, status, started_ms)
 
 
 class Rig:
@@ -55,9 +55,9 @@
         self.all: list[api.Action] = []
         self.attempts: dict[int, int] = {}
         if servers:
-            self.list_of(*(listed(f"s{place}", place) for place in range(servers)))
+            self.list_of(*(listed(f"s{pool}", pool) for pool in range(servers)))
 
-    def tell(self, event: api.Event, at_ms: float | None = None) -> list[api.Action]:
+    def feed(self, event: api.Event, at_ms: float | None = None) -> list[api.Action]:
         if at_ms is not None:
             self.now_ms = at_ms
         self.last = self.controller.handle(self.now_ms, event)
@@ -69,29 +69,36 @@
     def of(self, kind: type[A]) -> list[A]:
         return [action for action in self.last if isinstance(action, kind)]
 
-    def list_of(self, *servers: api.ListedServer, whole: bool = True) -> list[api.Action]:
+    def list_of(self, *servers: api.ListedServer, complete: bool = True) -> list[api.Action]:
         self.version += 1
-        return self.tell(api.ServerList(self.version, whole, tuple(servers)))
+        return self.feed(api.ServerList(self.version, complete, tuple(servers)))
 
     def call(
-        self, call_id: int, kind: str = "usual", far_end: int = 0, expires_in_ms: float = 3000, **more: Any
+        self,
+        call_id: int,
+        call_class: str = "usual",
+        preferred_pool: int = 0,
+        expires_in_ms: float = 3000,
+        **more: Any,
     ) -> list[api.Action]:
         more.setdefault("number", f"n{call_id}")
-        return self.tell(api.NewCall(call_id, self.now_ms + expires_in_ms, kind, far_end, **more))
+        return self.feed(
+            api.NewCall(call_id, self.now_ms + expires_in_ms, call_class, preferred_pool, **more)
+        )
 
-    def stands(self, number: int, server: str = "s0", wait_ms: float = 50) -> list[api.Action]:
-        return self.tell(api.AttemptSucceeded(number, self.attempts.get(number, 0), server, wait_ms))
+    def succeed(self, number: int, server: str = "s0", wait_ms: float = 50) -> list[api.Action]:
+        return self.feed(api.AttemptSucceeded(number, self.attempts.get(number, 0), server, wait_ms))
 
-    def over(self, number: int, server: str, result: api.Result, **more: Any) -> list[api.Action]:
+    def end_attempt(self, number: int, server: str, result: api.Result, **more: Any) -> list[api.Action]:
         more.setdefault("call_finished", False)
-        return self.tell(api.AttemptEnded(number, self.attempts.get(number, 0), server, result, **more))
+        return self.feed(api.AttemptEnded(number, self.attempts.get(number, 0), server, result, **more))
 
     def tick(self, after_ms: float = 25) -> list[api.Action]:
         """Timers as an awake host fires them: none more than 25 ms late."""
         actions: list[api.Action] = []
         end_ms = self.now_ms + after_ms
         while True:
-            actions += self.tell(api.TimerFired("tick"), min(end_ms, self.now_ms + 25))
+            actions += self.feed(api.TimerFired("tick"), min(end_ms, self.now_ms + 25))
             if self.now_ms >= end_ms:
                 self.last = actions
                 return actions
--- a/tests/test_detector.py
+++ b/tests/test_detector.py
@@ -19,81 +19,83 @@
 
 
 def test_averages_are_exponential() -> None:
-    g = gate(in_load=10.0, out_load=4.0)
-    g.judge()
-    assert (g.in_average, g.out_average) == pytest.approx((3.0, 1.2))  # 0.3 of the newest interval
-    g.in_load, g.out_load = 2.0, 2.0
-    g.judge()
-    assert (g.in_average, g.out_average) == pytest.approx((2.7, 1.44))  # 3 + 0.3 x (2 - 3), 1.2 + 0.3 x 0.8
-    assert (g.in_load, g.out_load) == (0.0, 0.0)
+    g = gate(sent_load=10.0, answered_load=4.0)
+    g.update_ratio()
+    assert (g.sent_average, g.answered_average) == pytest.approx((3.0, 1.2))  # 0.3 of the newest interval
+    g.sent_load, g.answered_load = 2.0, 2.0
+    g.update_ratio()
+    assert (g.sent_average, g.answered_average) == pytest.approx(
+        (2.7, 1.44)
+    )  # 3 + 0.3 x (2 - 3), 1.2 + 0.3 x 0.8
+    assert (g.sent_load, g.answered_load) == (0.0, 0.0)
 
 
 def test_ratio_above_one_point_two_flags_after_twenty_set_ups() -> None:
     for set_ups, flagged in ((19, False), (20, True)):
-        g = gate(in_load=13.0, out_load=10.0, outstanding=3.0, set_ups=set_ups)
-        g.judge()
-        g.refresh_flag(0.0, 400.0, waiting=True)
-        assert g.flagged is flagged
+        g = gate(sent_load=13.0, answered_load=10.0, outstanding=3.0, set_ups=set_ups)
+        g.update_ratio()
+        g.update_overloaded(0.0, 400.0, waiting=True)
+        assert g.overloaded is flagged
 
 
 def test_a_ratio_of_exactly_one_point_two_does_not_flag() -> None:
-    g = gate(in_load=12.0, out_load=10.0, outstanding=3.0, set_ups=20)
-    g.judge()
+    g = gate(sent_load=12.0, answered_load=10.0, outstanding=3.0, set_ups=20)
+    g.update_ratio()
     assert not g.ratio_high
 
 
 def test_one_or_two_on_their_way_are_no_overload() -> None:
-    g = gate(in_load=2.0, out_load=0.0, outstanding=2.0, set_ups=20)
-    g.judge()
+    g = gate(sent_load=2.0, answered_load=0.0, outstanding=2.0, set_ups=20)
+    g.update_ratio()
     assert not g.ratio_high
 
 
 def test_an_interval_without_sends_leaves_the_ratio_under() -> None:
-    g = gate(in_average=9.0, out_average=1.0, outstanding=9.0, set_ups=20, ratio_high=1.0)
-    g.judge()
+    g = gate(sent_average=9.0, answered_average=1.0, outstanding=9.0, set_ups=20, ratio_high=1.0)
+    g.update_ratio()
     assert not g.ratio_high
 
 
 @pytest.mark.parametrize(("outstanding", "threshold"), [(4.0, 10.0), (17.0, 17.0)])
 def test_a_ratio_flag_sets_the_threshold_at_least_ten(outstanding: float, threshold: float) -> None:
-    g = gate(in_load=20.0, out_load=2.0, outstanding=outstanding, set_ups=20)
+    g = gate(sent_load=20.0, answered_load=2.0, outstanding=outstanding, set_ups=20)
     assert g.threshold == math.inf
-    g.judge()
+    g.update_ratio()
     assert g.threshold == threshold
 
 
 def test_outstanding_above_the_threshold_with_a_low_ratio_raises_it() -> None:
-    g = gate(in_load=10.0, out_load=10.0, outstanding=14.0, set_ups=20, threshold=10.0)
-    g.refresh_flag(0.0, 400.0, waiting=True)
-    assert g.flagged
-    g.judge()
+    g = gate(sent_load=10.0, answered_load=10.0, outstanding=14.0, set_ups=20, threshold=10.0)
+    g.update_overloaded(0.0, 400.0, waiting=True)
+    assert g.overloaded
+    g.update_ratio()
     assert g.threshold == 14.0
-    g.refresh_flag(0.0, 400.0, waiting=True)
-    assert not g.flagged
+    g.update_overloaded(0.0, 400.0, waiting=True)
+    assert not g.overloaded
 
 
 def test_the_flag_clears_when_the_ratio_falls_or_nothing_waits() -> None:
-    g = gate(in_load=20.0, out_load=2.0, outstanding=4.0, set_ups=20)
-    g.judge()
-    g.refresh_flag(0.0, 400.0, waiting=True)
-    assert g.flagged
-    g.refresh_flag(0.0, 400.0, waiting=False)  # nothing waits and 4 is under 10
-    assert not g.flagged
+    g = gate(sent_load=20.0, answered_load=2.0, outstanding=4.0, set_ups=20)
+    g.update_ratio()
+    g.update_overloaded(0.0, 400.0, waiting=True)
+    assert g.overloaded
+    g.update_overloaded(0.0, 400.0, waiting=False)  # nothing waits and 4 is under 10
+    assert not g.overloaded
     g.ratio_high = True
-    g.refresh_flag(0.0, 400.0, waiting=True)
-    assert g.flagged
-    g.in_load, g.out_load, g.in_average, g.out_average = 5.0, 5.0, 5.0, 5.0
-    g.judge()
-    g.refresh_flag(0.0, 400.0, waiting=True)
-    assert not g.flagged
+    g.update_overloaded(0.0, 400.0, waiting=True)
+    assert g.overloaded
+    g.sent_load, g.answered_load, g.sent_average, g.answered_average = 5.0, 5.0, 5.0, 5.0
+    g.update_ratio()
+    g.update_overloaded(0.0, 400.0, waiting=True)
+    assert not g.overloaded
 
 
 def test_a_wait_over_the_threshold_in_time_flags_at_once() -> None:
     rig = Rig(servers=1)
     rig.call(1)
-    limit_ms = rig.controller.limit_ms
+    limit_ms = rig.controller.wait_limit_ms
     rig.tick(limit_ms + 1)
-    assert rig.controller.gates["s0"].flagged
+    assert rig.controller.gates["s0"].overloaded
     rig.call(2)
     assert not rig.of(api.Send)
 
@@ -102,10 +104,10 @@
     """One server with one set-up out and three calls held."""
     rig = Rig(servers=1, gateway_count=16)
     rig.call(1)
-    rig.tick(rig.controller.limit_ms + 1)
+    rig.tick(rig.controller.wait_limit_ms + 1)
     rig.call(2)
     rig.tick(1)
-    rig.call(3, kind="dear")
+    rig.call(3, call_class="dear")
     rig.tick(1)
     rig.call(4)
     assert not rig.of(api.Send)
@@ -115,34 +117,34 @@
 def test_each_answer_releases_its_weight_dearest_then_oldest() -> None:
     rig = flagged_rig()
     g = rig.controller.gates["s0"]
-    g.base_ms = 40.0
-    rig.controller.limit_ms = 300.0
-    rig.stands(1, wait_ms=640)  # 0.6 of 600 ms: 360 is over the threshold, not over the dear call's 480
+    g.base_latency_ms = 40.0
+    rig.controller.wait_limit_ms = 300.0
+    rig.succeed(1, wait_ms=640)  # 0.6 of 600 ms: 360 is over the threshold, not over the dear call's 480
     assert [send.call for send in rig.of(api.Send)] == [3]
-    assert g.flagged
+    assert g.overloaded
 
 
 def test_a_heavy_call_is_not_released_by_a_light_answer() -> None:
     rig = Rig(servers=1, gateway_count=16)
     rig.call(1)
-    rig.tick(rig.controller.limit_ms + 1)
-    rig.call(2, kind="dear", width=2)
-    rig.controller.gates["s0"].base_ms = 40.0
-    rig.controller.limit_ms = 300.0
-    rig.stands(1, wait_ms=640)
+    rig.tick(rig.controller.wait_limit_ms + 1)
+    rig.call(2, call_class="dear", width=2)
+    rig.controller.gates["s0"].base_latency_ms = 40.0
+    rig.controller.wait_limit_ms = 300.0
+    rig.succeed(1, wait_ms=640)
     assert not rig.of(api.Send)
 
 
 def test_a_flagged_server_with_nothing_outstanding_gets_its_oldest_call_after_a_pause() -> None:
     rig = flagged_rig()
     g = rig.controller.gates["s0"]
-    sent_ms = g.tried_ms
-    g.seen_wait_ms = 430.0
-    rig.over(1, "s0", api.Result.ERROR, reason=api.RefusalReason.NUMBER_BUSY)
+    sent_ms = g.last_sent_ms
+    g.observed_wait_ms = 430.0
+    rig.end_attempt(1, "s0", api.Result.ERROR, reason=api.RefusalReason.NUMBER_BUSY)
     assert not rig.of(api.Send)
     # Two calls in a second, with one server to go to.
-    setattr(rig.controller.asked, "value", lambda now_ms: 0.002)  # noqa: B010
-    pause_ms = 500.0 * control.TRIAL_GAPS * (430.0 / rig.controller.limit_ms) ** 2
+    setattr(rig.controller.new_call_meter, "value", lambda now_ms: 0.002)  # noqa: B010
+    pause_ms = 500.0 * control.TRIAL_GAPS * (430.0 / rig.controller.wait_limit_ms) ** 2
     rig.tick(sent_ms + pause_ms - 1 - rig.now_ms)
     assert not rig.of(api.Send)
     rig.tick(2)
@@ -153,23 +155,23 @@
 
 def test_two_tries_after_full_then_refused() -> None:
     rig = Rig(servers=3)
-    rig.call(1, far_end=1)
+    rig.call(1, preferred_pool=1)
     assert [send.server for send in rig.of(api.Send)] == ["s1"]
     others = [name for name in rig.controller.gates if name != "s1"]
-    rig.over(1, "s1", api.Result.FULL, reason=api.RefusalReason.PROCESSOR_FULL)
+    rig.end_attempt(1, "s1", api.Result.FULL, reason=api.RefusalReason.PROCESSOR_FULL)
     assert [send.server for send in rig.of(api.Send)] == [others[0]]  # next in the sender's hash order
-    rig.over(1, others[0], api.Result.FULL, reason=api.RefusalReason.PROCESSOR_FULL)
+    rig.end_attempt(1, others[0], api.Result.FULL, reason=api.RefusalReason.PROCESSOR_FULL)
     assert rig.last[0] == api.Refuse(1)
 
 
 def test_a_server_that_fails_many_numbers_is_taken_out_and_calls_go_elsewhere() -> None:
     rig = Rig(servers=2)
-    for number in range(control.ERRORS):
+    for number in range(control.MAX_FAILED_NUMBERS):
         rig.call(number)
-        rig.over(number, "s0", api.Result.ERROR)
+        rig.end_attempt(number, "s0", api.Result.ERROR)
         assert [send.server for send in rig.of(api.Send)] == ["s1"]
-        rig.stands(number, "s1")
-    assert rig.controller.gates["s0"].silent
+        rig.succeed(number, "s1")
+    assert rig.controller.gates["s0"].ejected
     rig.call(99)
     assert [send.server for send in rig.of(api.Send)] == ["s1"]
 
@@ -178,14 +180,14 @@
     rig = Rig(servers=2)
     for call in range(6):
         rig.call(call, number="same")
-        rig.over(call, "s0", api.Result.ERROR, reason=api.RefusalReason.NUMBER_BUSY)
+        rig.end_attempt(call, "s0", api.Result.ERROR, reason=api.RefusalReason.NUMBER_BUSY)
         assert rig.of(api.Fail) == [api.Fail(call)]
-    assert not rig.controller.gates["s0"].silent
+    assert not rig.controller.gates["s0"].ejected
 
 
 def test_waiting_calls_do_not_pass_a_cleared_gate_in_one_burst() -> None:
     rig = flagged_rig()
-    rig.stands(1, wait_ms=10)
+    rig.succeed(1, wait_ms=10)
     assert len(rig.of(api.Send)) == 1
     rig.tick(1)
     assert len(rig.of(api.Send)) == 0
@@ -194,47 +196,47 @@
 def test_free_lines_are_counted_between_reports() -> None:
     rig = Rig(servers=1)
     told = api.ServerReport("s0", api.Result.OK, api.LoadReport(free_lines=1.0), probe=False)
-    rig.tell(told)
+    rig.feed(told)
     rig.call(1)
     assert [send.call for send in rig.of(api.Send)] == [1]
-    rig.stands(1)
+    rig.succeed(1)
     rig.call(2)
     assert not rig.of(api.Send)  # our own set-up took the last line
-    rig.over(1, "s0", api.Result.OK, call_finished=True)
+    rig.end_attempt(1, "s0", api.Result.OK, call_finished=True)
     assert [send.call for send in rig.of(api.Send)] == [2]  # and its end gave it back
 
 
 def test_a_small_server_is_not_taken_for_silent_within_its_usual_time() -> None:
     rig = Rig(servers=2)
     g = rig.controller.gates["s0"]
-    g.base_ms = 250.0
+    g.base_latency_ms = 250.0
     rig.call(1)
-    silent_ms = 2 * rig.controller.limit_ms + 3 * 250
+    silent_ms = 2 * rig.controller.wait_limit_ms + 3 * 250
     rig.tick(silent_ms - 1)
-    assert not g.silent
+    assert not g.ejected
     assert not rig.of(api.Cancel)
     rig.tick(2)
-    assert g.silent
+    assert g.ejected
     assert rig.of(api.Cancel) == [api.Cancel(1, 0)]
 
 
 def test_a_late_call_is_not_released_to_a_flagged_server() -> None:
     rig = flagged_rig()
     g = rig.controller.gates["s0"]
-    g.base_ms = 40.0
-    rig.controller.limit_ms = 300.0
+    g.base_latency_ms = 40.0
+    rig.controller.wait_limit_ms = 300.0
     for call in rig.controller.held.values():
-        call.aim_at_ms = rig.now_ms
-    rig.stands(1, wait_ms=640)
-    assert g.flagged
+        call.aim_due_ms = rig.now_ms
+    rig.succeed(1, wait_ms=640)
+    assert g.overloaded
     assert not rig.of(api.Send)
 
 
 def test_the_report_of_a_failed_probe_is_no_news() -> None:
     rig = Rig(servers=1)
     report = api.LoadReport(free_lines=0.0, wait_ms=900.0)
-    rig.tell(api.ServerReport("s0", api.Result.TIMEOUT, report, probe=True))
-    assert rig.controller.gates["s0"].seen_wait_ms == 0.0
+    rig.feed(api.ServerReport("s0", api.Result.TIMEOUT, report, probe=True))
+    assert rig.controller.gates["s0"].observed_wait_ms == 0.0
     rig.call(1)
     assert rig.of(api.Send)
 
@@ -243,20 +245,20 @@
     """Guards the first seconds: with few answers to make a pace from, idle servers were kept from calls."""
     rig = Rig(servers=1)
     gate = rig.controller.gates["s0"]
-    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), whole=False)
+    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), complete=False)
     for number in range(200):
         rig.now_ms += 5
         rig.call(number, expires_in_ms=9000)
-    rig.list_of(listed("s0", 0), whole=False)
+    rig.list_of(listed("s0", 0), complete=False)
     rig.tick()
     sent = len(rig.of(api.Send))
     assert 3 <= sent <= 50  # some at once, no more than the wait threshold has room for
     for send in rig.of(api.Send):
-        rig.stands(send.call, wait_ms=20)
-    gate.pressed_ms = rig.now_ms
+        rig.succeed(send.call, wait_ms=20)
+    gate.last_overload_ms = rig.now_ms
     rig.tick()
     assert len(rig.of(api.Send)) <= 2
-    gate.pressed_ms = -10000.0
+    gate.last_overload_ms = -10000.0
     rig.tick()
     assert len(rig.of(api.Send)) >= 3
 
@@ -267,7 +269,7 @@
     rig.tick(600)  # no answer for longer than the wait threshold: pressed
     for number in range(2, 9):
         rig.call(number)
-    rig.stands(1, wait_ms=20)
+    rig.succeed(1, wait_ms=20)
     assert len(rig.of(api.Send)) <= 2
 
 
@@ -277,26 +279,26 @@
     for number in range(300):  # 50 a second, all answered: the best rate is known
         rig.now_ms += 20
         rig.call(number)
-        rig.stands(number, wait_ms=20)
-    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), whole=False)
+        rig.succeed(number, wait_ms=20)
+    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), complete=False)
     for number in range(300, 320):
         rig.call(number, expires_in_ms=9000)
-    rig.list_of(listed("s1", 0), whole=False)
+    rig.list_of(listed("s1", 0), complete=False)
     sent = 0
     for _ in range(16):
         for send in rig.tick():
             if isinstance(send, api.Send):
                 assert send.server == "s1"
-                rig.stands(send.call, "s1", wait_ms=20)
+                rig.succeed(send.call, "s1", wait_ms=20)
                 sent += 1
     assert sent >= 6, "without it two, one in 200 ms"
 
 
 def failing(rig: Rig, number: int, *servers: str) -> None:
     """A call that meets an error at each of these."""
-    rig.call(number, far_end=int(servers[0][1]))
+    rig.call(number, preferred_pool=int(servers[0][1]))
     for server in servers:
-        rig.over(number, server, api.Result.ERROR)
+        rig.end_attempt(number, server, api.Result.ERROR)
 
 
 def test_a_server_that_fails_some_set_ups_is_used_on_and_one_that_fails_all_is_taken_out() -> None:
@@ -306,20 +308,20 @@
         rig.now_ms += 50
         rig.call(number)
         if number % 5 < 2:
-            rig.over(number, "s0", api.Result.ERROR)
+            rig.end_attempt(number, "s0", api.Result.ERROR)
             assert [send.server for send in rig.of(api.Send)] == ["s1"]
-            rig.stands(number, "s1")
+            rig.succeed(number, "s1")
         else:
-            rig.stands(number)
-        assert not gate.silent
+            rig.succeed(number)
+        assert not gate.ejected
     for number in range(60, 80):
         rig.now_ms += 50
         rig.call(number)
         if rig.of(api.Send)[0].server == "s0":
-            rig.over(number, "s0", api.Result.ERROR)
-        rig.stands(number, "s1")
-    assert gate.silent
-    assert gate.failing
+            rig.end_attempt(number, "s0", api.Result.ERROR)
+        rig.succeed(number, "s1")
+    assert gate.ejected
+    assert gate.ejected_for_errors
 
 
 def test_numbers_that_fail_everywhere_are_not_the_servers_fault() -> None:
@@ -329,28 +331,28 @@
         rig.now_ms += 20
         failing(rig, number, "s0", "s1")
         assert rig.of(api.Fail) == [api.Fail(number)]
-        assert not any(gate.silent for gate in rig.controller.gates.values())
+        assert not any(gate.ejected for gate in rig.controller.gates.values())
     for number in range(100, 100 + 3 * 8):  # all at once, before the second server has said anything
         rig.call(number)
     for number in range(100, 100 + 3 * 8):
-        rig.over(number, "s0", api.Result.ERROR)
-    assert rig.controller.gates["s0"].failing
+        rig.end_attempt(number, "s0", api.Result.ERROR)
+    assert rig.controller.gates["s0"].ejected_for_errors
     for number in range(100, 100 + 3 * 8):
         if rig.controller.calls.get(number) is not None and rig.controller.calls[number].server == "s1":
-            rig.over(number, "s1", api.Result.ERROR)
-    assert not rig.controller.gates["s0"].silent
-    assert len(rig.controller.gates["s0"].errors) < 8
+            rig.end_attempt(number, "s1", api.Result.ERROR)
+    assert not rig.controller.gates["s0"].ejected
+    assert len(rig.controller.gates["s0"].failed_numbers) < 8
 
 
 def test_a_call_that_failed_is_tried_again_there_when_no_other_has_room_and_not_for_ever() -> None:
     rig = Rig(servers=2)
-    rig.controller.gates["s1"].flagged = True
-    rig.controller.gates["s1"].seen_wait_ms = 5000.0
+    rig.controller.gates["s1"].overloaded = True
+    rig.controller.gates["s1"].observed_wait_ms = 5000.0
     rig.call(1)
     for _ in range(2):
-        rig.over(1, "s0", api.Result.ERROR)
+        rig.end_attempt(1, "s0", api.Result.ERROR)
         assert [send.server for send in rig.of(api.Send)] == ["s0"]
-    rig.over(1, "s0", api.Result.ERROR)
+    rig.end_attempt(1, "s0", api.Result.ERROR)
     assert rig.of(api.Fail) == [api.Fail(1)]
 
 
@@ -366,14 +368,14 @@
         rig.call(number)
         assert [send.call for send in rig.of(api.Send)] == [number]
         rig.tick(25)
-        rig.stands(number)
-        assert not gate.flagged
-        assert not gate.silent
+        rig.succeed(number)
+        assert not gate.overloaded
+        assert not gate.ejected
         if cancelled:
             break
     assert cancelled == [1], "it is called off, to be sent again"
-    rig.over(1, "s0", api.Result.CANCELLED)
-    assert gate.seen_wait_ms < 100
+    rig.end_attempt(1, "s0", api.Result.CANCELLED)
+    assert gate.observed_wait_ms < 100
     rig.tick(275)
     assert not rig.of(api.Send), "its release is awaited"
     rig.tick(50)
@@ -385,11 +387,11 @@
     gate = rig.controller.gates["s0"]
     rig.call(1)
     rig.tick(50)
-    rig.stands(1)
+    rig.succeed(1)
     for number in range(2, 6):
         rig.call(number)
     rig.tick(700)
-    assert gate.flagged
+    assert gate.overloaded
 
 
 def test_the_cost_of_a_tick_does_not_grow_with_the_square_of_the_servers() -> None:
@@ -398,16 +400,16 @@
     def looks(servers: int) -> int:
         rig = Rig(servers=servers, gateway_count=1, release_ms=200.0)
         for number in range(servers):
-            rig.call(number, far_end=number, expires_in_ms=9000)
+            rig.call(number, preferred_pool=number, expires_in_ms=9000)
         rig.tick(3000)
-        look, count = rig.controller.look, 0
+        look, count = rig.controller.check_overload, 0
 
         def counted(gate: control.Gate) -> bool:
             nonlocal count
             count += 1
             return look(gate)
 
-        rig.controller.look = counted  # type: ignore[method-assign]
+        rig.controller.check_overload = counted  # type: ignore[method-assign]
         rig.tick()
         return count
 
@@ -417,9 +419,9 @@
 def test_servers_whose_lines_are_told_may_all_go() -> None:
     """Guards the shares of the others from a look for the least of no lines at all."""
     rig = Rig(servers=1)
-    rig.tell(api.ServerReport("s0", api.Result.OK, api.LoadReport(5, 10), False))
+    rig.feed(api.ServerReport("s0", api.Result.OK, api.LoadReport(5, 10), False))
     rig.now_ms += 1000.0
     rig.list_of(listed("s1", 1))
     rig.now_ms += 61_000.0
     rig.list_of(listed("s1", 1))
-    assert [send.server for send in (rig.call(1, far_end=1), rig.of(api.Send))[1]] == ["s1"]
+    assert [send.server for send in (rig.call(1, preferred_pool=1), rig.of(api.Send))[1]] == ["s1"]
--- a/tests/test_estimation.py
+++ b/tests/test_estimation.py
@@ -186,11 +186,11 @@
     """Two servers that tell their lines each second; they answer after 50 ms, then after 300."""
     rig = Rig(classes=tuple(replace(kind, hold_ms=HOLD_MS) for kind in BASE.classes))
     for n in range(8):
-        rig.call(n, far_end=n % 2)
+        rig.call(n, preferred_pool=n % 2)
         rig.tick(100)
-        rig.stands(n, f"s{n % 2}", 50.0 if n < 2 else 300.0)
+        rig.succeed(n, f"s{n % 2}", 50.0 if n < 2 else 300.0)
         for server in ("s0", "s1"):
-            rig.tell(api.ServerReport(server, api.Result.OK, api.LoadReport(500.0, 550.0, None, 40.0), False))
+            rig.feed(api.ServerReport(server, api.Result.OK, api.LoadReport(500.0, 550.0, None, 40.0), False))
         rig.tick(900)
     return rig
 
@@ -200,18 +200,18 @@
     rig = pressed_rig()
     for call in range(10, 16):  # the others wait their usual time, too
         rig.controller.estimates.note_wait(rig.now_ms, "s1", 400.0)
-        rig.call(call, far_end=1)
+        rig.call(call, preferred_pool=1)
         rig.tick(10)
-    rig.call(20, far_end=0)
+    rig.call(20, preferred_pool=0)
     assert rig.of(api.Send)[0].server == "s0"
     for n in range(11):  # as silence counts twice the limit and three usual answers: 990 ms
         rig.controller.estimates.note_wait(rig.now_ms, "s1", 400.0)
         if tells and n % 10 == 0:
-            rig.tell(api.ServerReport("s0", api.Result.OK, api.LoadReport(500.0, 550.0), False))
+            rig.feed(api.ServerReport("s0", api.Result.OK, api.LoadReport(500.0, 550.0), False))
         rig.tick(100)
     gate = rig.controller.gates["s0"]
-    assert gate.lives(rig.now_ms) is tells
-    assert gate.silent is not tells
+    assert gate.is_alive(rig.now_ms) is tells
+    assert gate.ejected is not tells
 
 
 def test_calls_go_round_a_server_of_which_all_ask_too_much_and_back_when_they_do_not() -> None:
@@ -223,9 +223,9 @@
         went = 0
         for n in range(60):
             call = int(1000 * (1 + len(firsts))) + n
-            rig.call(call, far_end=0)
+            rig.call(call, preferred_pool=0)
             went += rig.of(api.Send)[0].server == "s0"
-            rig.stands(call, rig.of(api.Send)[0].server, 60.0)
+            rig.succeed(call, rig.of(api.Send)[0].server, 60.0)
         firsts.append(went)
     assert firsts[0] == firsts[2] == 60, "the first choice is kept while it has room"
     assert 0 < firsts[1] < 25, "a share of them, drawn by each call for itself"
@@ -236,10 +236,12 @@
     for gateway in range(40):
         rig = Rig(gateway_no=gateway, gateway_count=400, may_probe=True)
         gate = rig.controller.gates["s0"]
-        gate.probed_ms = rig.now_ms - gateway / 40.0 * rig.controller.ask_ms  # their phases are drawn
+        gate.last_probe_ms = (
+            rig.now_ms - gateway / 40.0 * rig.controller.probe_interval_ms
+        )  # their phases are drawn
         for n in range(20):
-            gate.silent = True
-            rig.call(n, far_end=0)
+            gate.ejected = True
+            rig.call(n, preferred_pool=0)
             asked += sum(1 for one in rig.of(api.Probe) if one.server == "s0")
             rig.tick(500)
     assert 0 < asked <= 8.0 * 10.0 * 40 / 400 + 1, "ten seconds of 40 of 400 senders, eight a second of all"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,7 +27,7 @@
             rig.tick(offset_ms if call == 1 else each_ms)
             rig.call(call)
             if warm_first:
-                rig.stands(call, "s0", 20)
+                rig.succeed(call, "s0", 20)
         rig.tick(start_ms + 11 * each_ms - rig.now_ms)
         rig.all.clear()
         rig.list_of(listed("n0", 0, started_ms=rig.now_ms))
@@ -63,12 +63,12 @@
             out = [a.server for a in rig.last if isinstance(a, api.Send)]
             tried += out.count("s0")
             if out == ["s1"]:
-                rig.stands(call, "s1", 20)
+                rig.succeed(call, "s1", 20)
             before = len(rig.all)
             rig.tick(each_ms)
             tried += sum(1 for a in rig.all[before:] if isinstance(a, api.Send) and a.server == "s0")
             if out == ["s0"] and call in rig.controller.calls:
-                rig.over(call, "s0", api.Result.TIMEOUT)
+                rig.end_attempt(call, "s0", api.Result.TIMEOUT)
         probes = [a for a in rig.all if isinstance(a, api.Probe)]
         assert len(probes) <= total_ms / 1000.0
     assert tried <= 0.5 * asked
@@ -77,23 +77,23 @@
 def test_an_idle_gateway_arms_no_timer() -> None:
     rig = Rig(servers=12)
     rig.call(1)
-    rig.stands(1)
-    rig.over(1, "s0", api.Result.OK, call_finished=True)
-    rig.tell(api.TimerFired("tick"), rig.now_ms + 100)
+    rig.succeed(1)
+    rig.end_attempt(1, "s0", api.Result.OK, call_finished=True)
+    rig.feed(api.TimerFired("tick"), rig.now_ms + 100)
     rig.all.clear()
     for second in range(60):
         report = api.LoadReport(free_lines=50.0 + second, lines=100.0)
-        rig.tell(api.ServerReport("s1", api.Result.OK, report, probe=False), rig.now_ms + 1000)
+        rig.feed(api.ServerReport("s1", api.Result.OK, report, probe=False), rig.now_ms + 1000)
     assert not rig.all
 
 
 def test_a_gateways_own_pause_is_not_the_silence_of_its_servers() -> None:
     rig = Rig(servers=2)
     rig.call(1)
-    rig.tell(api.TimerFired("tick"), rig.now_ms + 1800)  # the timer was due 1.7 s ago
-    assert not rig.controller.gates["s0"].silent
+    rig.feed(api.TimerFired("tick"), rig.now_ms + 1800)  # the timer was due 1.7 s ago
+    assert not rig.controller.gates["s0"].ejected
     assert not rig.of(api.Cancel)
-    rig.stands(1, "s0", wait_ms=1800)  # as this host saw it; the server answered long before
+    rig.succeed(1, "s0", wait_ms=1800)  # as this host saw it; the server answered long before
     rig.call(2)
     assert [send.server for send in rig.of(api.Send)] == ["s0"]
 
@@ -102,10 +102,10 @@
     rig = Rig(servers=1, gateway_count=4)
     for number in range(80):
         rig.call(number, expires_in_ms=1000)
-    rig.tell(api.TimerFired("tick"), rig.now_ms + 2000)
+    rig.feed(api.TimerFired("tick"), rig.now_ms + 2000)
     for number in sorted(rig.attempts):
         if number in rig.controller.calls:
-            rig.over(number, "s0", api.Result.TIMEOUT)
+            rig.end_attempt(number, "s0", api.Result.TIMEOUT)
             assert number not in rig.controller.calls
 
 
@@ -113,14 +113,14 @@
     rig = Rig(servers=3, gateway_count=1)
     for server, lines in (("s0", 0.0), ("s1", 900.0), ("s2", 100.0)):
         report = api.LoadReport(free_lines=lines and lines / 2, lines=lines or 100.0)
-        rig.tell(api.ServerReport(server, api.Result.OK, report, probe=False))
+        rig.feed(api.ServerReport(server, api.Result.OK, report, probe=False))
     went = {"s1": 0, "s2": 0}
     for number in range(300):
         rig.call(number)
         server = rig.of(api.Send)[0].server
         went[server] += 1
-        rig.stands(number, server, 20)
-        rig.over(number, server, api.Result.OK, call_finished=True)
+        rig.succeed(number, server, 20)
+        rig.end_attempt(number, server, api.Result.OK, call_finished=True)
     assert 0.8 < went["s1"] / 300 < 0.97
 
 
@@ -129,11 +129,11 @@
     rig = Rig(servers=0, gateway_count=count)
     rig.list_of(*(listed(f"s{n}", n, started_ms=rig.now_ms) for n in range(3)))
     for number in range(30):
-        rig.call(number, far_end=number % 3)
+        rig.call(number, preferred_pool=number % 3)
         rig.tick(100)
     rig.tick(4000)
     assert rig.controller.calls.keys() <= {a.call for a in rig.all if isinstance(a, api.Send)}
-    assert math.isfinite(rig.controller.asked.value(rig.now_ms))
+    assert math.isfinite(rig.controller.new_call_meter.value(rig.now_ms))
 
 
 def test_a_call_found_too_late_behind_others_is_answered_at_once() -> None:
@@ -148,15 +148,15 @@
     def redialled(free_lines: float, wait_ms: float) -> list[api.Send]:
         rig = Rig(servers=1)
         rig.call(1, number="n")
-        rig.tell(api.CallAbandoned(1))
-        rig.controller.gates["s0"].seen_wait_ms = 0.0
+        rig.feed(api.CallAbandoned(1))
+        rig.controller.gates["s0"].observed_wait_ms = 0.0
         report = api.LoadReport(free_lines=free_lines, lines=1000.0)
-        rig.tell(api.ServerReport("s0", api.Result.OK, report, probe=False), rig.now_ms + 1600)
-        rig.controller.gates["s0"].seen_wait_ms = wait_ms
+        rig.feed(api.ServerReport("s0", api.Result.OK, report, probe=False), rig.now_ms + 1600)
+        rig.controller.gates["s0"].observed_wait_ms = wait_ms
         rig.call(2, number="n")  # its aim has passed: it is worth a quarter
         return rig.of(api.Send)
 
-    limit_ms = Rig(servers=0).controller.limit_ms
+    limit_ms = Rig(servers=0).controller.wait_limit_ms
     assert redialled(50.0, 0.4 * limit_ms)
     assert not redialled(50.0, 0.6 * limit_ms)
     assert not redialled(20.0, 0.0)
@@ -164,7 +164,7 @@
 
 def test_a_call_is_not_sent_where_the_wait_is_longer_than_its_callers_time() -> None:
     rig = Rig(servers=2)
-    rig.controller.gates["s0"].seen_wait_ms = 300.0  # under the threshold: the gate is clear
+    rig.controller.gates["s0"].observed_wait_ms = 300.0  # under the threshold: the gate is clear
     rig.call(1, expires_in_ms=250)
     assert [send.server for send in rig.of(api.Send)] == ["s1"]
     rig.tick(500)
@@ -175,7 +175,7 @@
 def test_a_server_last_seen_with_a_long_wait_is_still_tried() -> None:
     rig = Rig(servers=1)
     gate = rig.controller.gates["s0"]
-    gate.seen_wait_ms, gate.flagged = 3500.0, True  # longer than any caller stays
-    gate.tried_ms = -math.inf
+    gate.observed_wait_ms, gate.overloaded = 3500.0, True  # longer than any caller stays
+    gate.last_sent_ms = -math.inf
     rig.call(1, expires_in_ms=3000)
     assert [send.server for send in rig.of(api.Send)] == ["s0"]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,7 +12,7 @@
 import pytest
 
 from capershelf import config
-from capershelf.control import NUMBERS, REDIAL_MS, Controller
+from capershelf.control import MIN_TRACKED_NUMBERS, REDIAL_WINDOW_MS, Controller
 from capershelf.interface import CallAbandoned, ListedServer, NewCall, ServerList, ServerStatus
 from lab.capacity.proxies import settings as planned_settings
 from tests.rig import Rig
@@ -66,16 +66,16 @@
             looks.append(len(self))
             return super().items()
 
-    rig.controller.first_asked = Watched()
-    for number in range(3 * NUMBERS):
+    rig.controller.first_dialled = Watched()
+    for number in range(3 * MIN_TRACKED_NUMBERS):
         rig.call(number, expires_in_ms=1)
-        rig.tell(CallAbandoned(number))
-    assert sum(looks) <= 2 * 3 * NUMBERS
-    rig.now_ms += REDIAL_MS + 1.0
-    for number in range(3 * NUMBERS, 9 * NUMBERS):
+        rig.feed(CallAbandoned(number))
+    assert sum(looks) <= 2 * 3 * MIN_TRACKED_NUMBERS
+    rig.now_ms += REDIAL_WINDOW_MS + 1.0
+    for number in range(3 * MIN_TRACKED_NUMBERS, 9 * MIN_TRACKED_NUMBERS):
         rig.call(number, expires_in_ms=1)
-        rig.tell(CallAbandoned(number))
-    assert len(rig.controller.first_asked) <= 6 * NUMBERS
+        rig.feed(CallAbandoned(number))
+    assert len(rig.controller.first_dialled) <= 6 * MIN_TRACKED_NUMBERS
 
 
 class CountedPlace(int):
--- a/tests/test_memory_decisions.py
+++ b/tests/test_memory_decisions.py
@@ -14,7 +14,7 @@
 from hypothesis import settings as hypothesis_settings
 
 from capershelf import interface as api
-from capershelf.control import ASKED_SHARE, LEAST_THRESHOLD, SURE_SENDS
+from capershelf.control import ASSUMED_COLD_SET_UPS, ASSUMED_SERVED_SHARE, MIN_THRESHOLD
 from capershelf.memory.ageing import Clocks, HalfLives, age_asked, age_server, part_of, way_only, weight
 from capershelf.memory.keeper import A_SWEEP, HAND_OVER_MS, Keeper, Snapshot, Terms
 from capershelf.memory.records import Book, ServerRecord
@@ -73,7 +73,7 @@
     assert old.rate_per_s <= young.rate_per_s
     assert old.wait_ms <= young.wait_ms
     assert (old.base_latency_ms or math.inf) >= (young.base_latency_ms or math.inf)
-    assert (old.threshold or math.inf) >= (young.threshold or math.inf) >= LEAST_THRESHOLD
+    assert (old.threshold or math.inf) >= (young.threshold or math.inf) >= MIN_THRESHOLD
 
 
 def test_a_clock_that_was_moved_makes_knowledge_older_never_newer() -> None:
@@ -93,7 +93,7 @@
     assert known is not None
     assert known.rate_per_s == 5.0
     assert known.threshold == 10.0  # of 40
-    assert aged(0.0, 0.1) == replace(known, rate_per_s=2.0, threshold=LEAST_THRESHOLD)
+    assert aged(0.0, 0.1) == replace(known, rate_per_s=2.0, threshold=MIN_THRESHOLD)
     clocks = Clocks(NOW_MS + 1, NOW_MS + 1)
     assert age_asked(book(1, asked_per_s=60.0), clocks, LIVES, MOST_AGE_MS, 2) == 30.0
     assert age_asked(book(1), Clocks(NOW_MS, NOW_MS + 8 * DAY_MS), LIVES, MOST_AGE_MS, 1) == 0.0
@@ -318,11 +318,11 @@
     The budget is worked out here from what this life has seen alone: this gateway's share of the fleet's.
     """
     rig = Rig(0)
-    rig.tell(api.RestoredKnowledge(asked_per_s, (known,)))
+    rig.feed(api.RestoredKnowledge(asked_per_s, (known,)))
     began_ms = rig.now_ms
     rig.list_of(listed("s0", 0, started_ms=began_ms))
     module, terms = rig.controller, rig.controller.settings
-    assert (module.best_rate, module.asked.value(rig.now_ms)) == (0.0, 0.0)
+    assert (module.best_rate, module.new_call_meter.value(rig.now_ms)) == (0.0, 0.0)
     sent: deque[float] = deque()
     for number, gap in enumerate(gaps):
         rig.tick(gap)
@@ -332,20 +332,28 @@
             while sent[0] <= rig.now_ms - terms.fall_ms:
                 sent.popleft()
             part = terms.cold_from + (1 - terms.cold_from) * ((rig.now_ms - began_ms) / terms.ramp_ms) ** 2
-            seen = max(ASKED_SHARE * module.asked.value(rig.now_ms), module.best_rate) * terms.fall_ms
-            fleet = max(terms.fall_multiple * part * seen * terms.gateway_count, SURE_SENDS)
+            seen = (
+                max(ASSUMED_SERVED_SHARE * module.new_call_meter.value(rig.now_ms), module.best_rate)
+                * terms.fall_ms
+            )
+            fleet = max(terms.fall_multiple * part * seen * terms.gateway_count, ASSUMED_COLD_SET_UPS)
             assert len(sent) <= 1.0 + fleet_limit(fleet) / terms.gateway_count
-            rig.stands(action.call)
+            rig.succeed(action.call)
         rig.all.clear()
 
 
 def test_the_module_starts_from_what_is_recalled_and_gives_it_out_again() -> None:
     rig = Rig(0)
     known = api.LearnedServer("s0", 30.0, 120.0, 9.0, 25.0, False)
-    rig.tell(api.RestoredKnowledge(40.0, (known, api.LearnedServer("s9", 1.0))))
+    rig.feed(api.RestoredKnowledge(40.0, (known, api.LearnedServer("s9", 1.0))))
     rig.list_of(listed("s0", 0), listed("s1", 1))
     gate = rig.controller.gates["s0"]
-    assert (gate.usual_rate, gate.seen_wait_ms, gate.base_ms, gate.threshold) == (0.03, 120.0, 9.0, 25.0)
+    assert (gate.restored_rate, gate.observed_wait_ms, gate.base_latency_ms, gate.threshold) == (
+        0.03,
+        120.0,
+        9.0,
+        25.0,
+    )
     assert rig.controller.new_call_rate() == pytest.approx(0.04)
     assert rig.controller.learned("s0") == replace(known, rate_per_s=0.0)  # own answers only
     assert rig.controller.learned("s1") == api.LearnedServer("s1")
@@ -353,19 +361,19 @@
     rig.list_of(listed("s0", 0, DRAINING), listed("s1", 1))
     assert rig.controller.learned("s0") is None
     rig.list_of(listed("s0", 0, started_ms=rig.now_ms), listed("s1", 1))
-    assert rig.controller.gates["s0"].usual_rate == 0.0
+    assert rig.controller.gates["s0"].restored_rate == 0.0
 
 
 def out_of_a_queue(known: api.LearnedServer | None) -> int:
     """How many of ten held calls go out in a tenth of a second once their server has lines again."""
     rig = Rig(0)
     if known is not None:
-        rig.tell(api.RestoredKnowledge(0.0, (known,)))
+        rig.feed(api.RestoredKnowledge(0.0, (known,)))
     rig.list_of(listed("s0", 0))
-    rig.tell(api.ServerReport("s0", api.Result.OK, api.LoadReport(0.0, 50.0), False))
+    rig.feed(api.ServerReport("s0", api.Result.OK, api.LoadReport(0.0, 50.0), False))
     for number in range(1, 11):
         rig.call(number)
-    rig.tell(api.ServerReport("s0", api.Result.OK, api.LoadReport(50.0, 50.0), False))
+    rig.feed(api.ServerReport("s0", api.Result.OK, api.LoadReport(50.0, 50.0), False))
     rig.tick(100)
     return sum(isinstance(action, api.Send) for action in rig.all)
 
@@ -376,11 +384,11 @@
 
 def test_a_server_recalled_as_silent_is_tried_by_the_first_call() -> None:
     rig = Rig(0)
-    rig.tell(api.RestoredKnowledge(40.0, (api.LearnedServer("s0", ejected=True),)))
+    rig.feed(api.RestoredKnowledge(40.0, (api.LearnedServer("s0", ejected=True),)))
     rig.list_of(listed("s0", 0), listed("s1", 1))
     rig.call(1)
     assert [(a.call, a.server) for a in rig.of(api.Send)] == [(1, "s0")]
     rig.call(2)
     assert [a.server for a in rig.of(api.Send)] == ["s1"]
-    rig.stands(1)
-    assert not rig.controller.gates["s0"].silent
+    rig.succeed(1)
+    assert not rig.controller.gates["s0"].ejected
--- a/tests/test_registry_states.py
+++ b/tests/test_registry_states.py
@@ -338,7 +338,7 @@
             node._news(one)
         while not planner.inbox.empty():
             planner.step()
-        return {gate.id: gate.standing.value for gate in planner._controller.gates.values()}
+        return {gate.id: gate.status.value for gate in planner._controller.gates.values()}
 
     assert told(9, target("a"), target("b", pod_group=None)) == {"a": "active", "b": "active"}
     assert told(3, target("a", "draining"), target("b")) == {"a": "draining", "b": "active"}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -32,14 +32,14 @@
     rig.call(1, expires_in_ms=1000)
     assert rig.of(api.Send)[0].timeout_ms == 1000
     rig.now_ms += 1000
-    rig.over(1, "s0", api.Result.TIMEOUT)
+    rig.end_attempt(1, "s0", api.Result.TIMEOUT)
     assert answers(rig.last, 1) == 1
 
 
 def test_a_settled_outcome_ends_the_call() -> None:
     rig = Rig(servers=1)
     rig.call(1)
-    rig.over(1, "s0", api.Result.TIMEOUT, call_finished=True)
+    rig.end_attempt(1, "s0", api.Result.TIMEOUT, call_finished=True)
     assert not rig.of(api.Refuse)
     assert rig.controller.calls == {}
 
@@ -47,8 +47,8 @@
 @pytest.mark.parametrize("result", [api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED])
 def test_the_release_is_awaited(result: api.Result) -> None:
     rig = Rig(servers=2)
-    rig.call(1, kind="dear", expires_in_ms=4000)
-    rig.over(1, "s0", result)
+    rig.call(1, call_class="dear", expires_in_ms=4000)
+    rig.end_attempt(1, "s0", result)
     rig.tick(299)
     assert not rig.of(api.Send)
     rig.tick(1)
@@ -58,16 +58,16 @@
 def test_the_caller_gone_while_held_out_or_awaiting_release() -> None:
     rig = Rig(servers=0)
     rig.call(1)
-    rig.tell(api.CallAbandoned(1))
+    rig.feed(api.CallAbandoned(1))
     rig.list_of(listed("s0", 0))
     assert not rig.of(api.Send)
     rig.call(2)
-    rig.tell(api.CallAbandoned(2))
+    rig.feed(api.CallAbandoned(2))
     assert rig.controller.gates["s0"].outstanding == 0
-    assert rig.over(2, "s0", api.Result.OK, call_finished=True) == []
+    assert rig.end_attempt(2, "s0", api.Result.OK, call_finished=True) == []
     rig.call(3)
-    rig.over(3, "s0", api.Result.RESET)
-    rig.tell(api.CallAbandoned(3))
+    rig.end_attempt(3, "s0", api.Result.RESET)
+    rig.feed(api.CallAbandoned(3))
     rig.tick(400)
     assert not rig.of(api.Send)
     assert rig.controller.calls == {}
@@ -75,13 +75,13 @@
 
 def test_nothing_new_to_a_draining_or_gone_server_and_held_calls_move() -> None:
     rig = Rig(servers=2)
-    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), whole=False)
+    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), complete=False)
     rig.call(1)
     assert [send.server for send in rig.of(api.Send)] == ["s1"]
     rig.list_of(listed("s0", 0))
     rig.call(2)
     assert [send.server for send in rig.of(api.Send)] == ["s0"]
-    assert rig.controller.gates["s1"].standing is api.ServerStatus.REMOVED  # not in the whole list
+    assert rig.controller.gates["s1"].status is api.ServerStatus.REMOVED  # not in the whole list
     rig.list_of()
     rig.call(3)
     assert not rig.of(api.Send)
@@ -90,11 +90,11 @@
 def test_a_replacement_takes_the_calls_held_for_its_place() -> None:
     """In this gateway's turn: it is cold, and may be sent about 46 set-ups in 3 s by all four together."""
     rig = Rig(servers=1)
-    rig.tell(api.ServerReport("s0", api.Result.OK, api.LoadReport(10.0, 10.0, None, 50.0), False))
-    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), whole=False)
+    rig.feed(api.ServerReport("s0", api.Result.OK, api.LoadReport(10.0, 10.0, None, 50.0), False))
+    rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), complete=False)
     rig.call(1)
     assert not rig.of(api.Send)
-    rig.list_of(listed("n0", 0, started_ms=rig.now_ms), whole=False)
+    rig.list_of(listed("n0", 0, started_ms=rig.now_ms), complete=False)
     rig.tick(4.0 * 3000.0 / 46.0)
     assert [send.server for send in rig.of(api.Send)] == ["n0"]
 
@@ -111,25 +111,25 @@
 
 def test_a_server_back_under_its_id_is_cold_again() -> None:
     rig = Rig(servers=1)
-    rig.list_of(listed("s0", 0, api.ServerStatus.REMOVED), whole=False)
-    rig.list_of(listed("s0", 0), whole=False)
+    rig.list_of(listed("s0", 0, api.ServerStatus.REMOVED), complete=False)
+    rig.list_of(listed("s0", 0), complete=False)
     assert rig.controller.gates["s0"].started_ms == rig.now_ms
 
 
 def test_an_older_list_and_unknown_ids_are_taken_in_silence() -> None:
     rig = Rig(servers=1)
-    rig.tell(api.ServerList(0, True, ()))
-    assert rig.controller.gates["s0"].standing is api.ServerStatus.ACTIVE
-    assert rig.tell(api.AttemptSucceeded(5, 0, "s0", 3.0)) == []
-    assert rig.tell(api.CallAbandoned(5)) == []
-    assert rig.tell(api.AttemptEnded(5, 0, "nowhere", api.Result.TIMEOUT, False)) == []
-    assert rig.tell(api.TimerFired("what")) == []
+    rig.feed(api.ServerList(0, True, ()))
+    assert rig.controller.gates["s0"].status is api.ServerStatus.ACTIVE
+    assert rig.feed(api.AttemptSucceeded(5, 0, "s0", 3.0)) == []
+    assert rig.feed(api.CallAbandoned(5)) == []
+    assert rig.feed(api.AttemptEnded(5, 0, "nowhere", api.Result.TIMEOUT, False)) == []
+    assert rig.feed(api.TimerFired("what")) == []
 
 
 def test_the_hosts_mistakes_raise() -> None:
     rig = Rig(servers=1)
     with pytest.raises(ValueError, match="backwards"):
-        rig.tell(api.TimerFired("tick"), 1.0)
+        rig.feed(api.TimerFired("tick"), 1.0)
     with pytest.raises(TypeError, match="unknown event"):
         rig.controller.handle(5000.0, "call")  # type: ignore[arg-type]
 
@@ -148,7 +148,7 @@
         rig = Rig(servers=3, tenants=(api.Tenant("a", 2.0), api.Tenant("b", 5.0)))
         for number in range(60):
             kind = "dear" if number % 4 == 0 else "usual"
-            rig.call(number, kind, far_end=number % 3, tenant="ab"[number % 2])
+            rig.call(number, kind, preferred_pool=number % 3, tenant="ab"[number % 2])
             rig.tick()
         return rig.all
 
@@ -222,7 +222,7 @@
         attempt, server, _ = self.out.pop(call)
         if result in (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED):
             self.free_at[call] = self.rig.now_ms + 300
-        self.check(self.rig.tell(api.AttemptEnded(call, attempt, server, result, call not in self.owed, why)))
+        self.check(self.rig.feed(api.AttemptEnded(call, attempt, server, result, call not in self.owed, why)))
 
     def end(self, pick: int) -> None:
         if not self.out:
@@ -232,7 +232,7 @@
         if result is api.Result.OK and call in self.owed:
             attempt, server, _ = self.out.pop(call)
             del self.owed[call]
-            self.check(self.rig.tell(api.AttemptSucceeded(call, attempt, server, float(pick % 900))))
+            self.check(self.rig.feed(api.AttemptSucceeded(call, attempt, server, float(pick % 900))))
             return
         self.finish(call, result, list(api.RefusalReason)[pick // 3 % 4])
 
@@ -252,13 +252,13 @@
         elif server in self.cold:
             started_ms = self.cold[server]
         self.standing[server] = standing
-        self.check(self.rig.list_of(listed(server, pick % 3, standing, started_ms), whole=False))
+        self.check(self.rig.list_of(listed(server, pick % 3, standing, started_ms), complete=False))
 
     def gone(self, pick: int) -> None:
         if self.owed:
             call = sorted(self.owed)[pick % len(self.owed)]
             del self.owed[call]
-            self.check(self.rig.tell(api.CallAbandoned(call)))
+            self.check(self.rig.feed(api.CallAbandoned(call)))
 
 
 def test_a_flood_of_held_calls_is_still_answered_in_time() -> None:
--- a/tests/test_stream_decisions.py
+++ b/tests/test_stream_decisions.py
@@ -283,19 +283,19 @@
 def test_the_module_goes_by_new_settings_and_keeps_what_it_has_learned() -> None:
     rig = Rig(2)
     rig.call(1)
-    rig.stands(1, wait_ms=40.0)
+    rig.succeed(1, wait_ms=40.0)
     rig.call(2)
-    before = rig.controller.calls[2].kind
+    before = rig.controller.calls[2].call_class
     kinds = (api.CallClass("usual", aim_ms=700, deadline_ms=900), api.CallClass("new", 700, 900, worth=2.0))
     new = api.Settings(
         **{name: getattr(rig.controller.settings, name) for name in api.Settings.__dataclass_fields__}
         | {"classes": kinds, "max_attempts": 3, "tenants": (api.Tenant("t", 5.0),)}
     )
-    rig.tell(api.SettingsChanged(new))
-    assert rig.controller.calls[2].kind is before
-    assert rig.controller.gates["s0"].base_ms == 40.0
-    assert rig.controller.limit_ms == pytest.approx(0.35 * 700)
-    rig.call(3, kind="new", tenant="t")
-    assert rig.controller.calls[3].kind.worth == 2.0
+    rig.feed(api.SettingsChanged(new))
+    assert rig.controller.calls[2].call_class is before
+    assert rig.controller.gates["s0"].base_latency_ms == 40.0
+    assert rig.controller.wait_limit_ms == pytest.approx(0.35 * 700)
+    rig.call(3, call_class="new", tenant="t")
+    assert rig.controller.calls[3].call_class.worth == 2.0
     with pytest.raises(ValueError, match="no known class"):
-        rig.call(4, kind="dear")
+        rig.call(4, call_class="dear")
