--- a/capershelf/control.py
+++ b/capershelf/control.py
@@ -63,7 +63,7 @@
 LATE_HOLD_MS = 400.0  # longest hold of a call that is past its aim or of low worth
 LATE_ATTEMPT_TIMEOUT_MS = 1500.0  # time-out of an attempt that is too late for the aim
 LOW_WORTH_SHARE = 0.3  # share of the least class worth below which a call is of low worth
-PACE_WINDOW_MS = 6000.0  # window in which a server's answers are counted for the pace of held calls
+PACE_WINDOW_MS = 6000.0  # the pace of held calls comes from a server's answers in this window
 PACE_FACTOR = 2.0  # held calls pass an open gate at this multiple of the server's answer rate
 MAX_PACE_GAP_MS = 400.0  # longest gap between two paced calls
 ASSUMED_RATE_SHARE = 0.5  # part of its share of the best rate that a warm server not lately overloaded can do
@@ -178,22 +178,22 @@
         self.observed_wait_ms, self.wait_decay_ms = 0.0, math.inf
         self.base_latency_ms = math.inf  # least answer time: the round trip and an idle processor
         self.observed_at_ms = self.last_answer_ms = self.last_sent_ms = self.last_probe_ms = -math.inf
-        self.restored_rate = 0.0  # answers per ms before this process started, if known
+        self.restored_rate_per_ms = 0.0  # answers per ms before this process started, if known
         self.paced_until_ms = -math.inf  # when the next of several held calls may pass, once the gate is open
         self.last_overload_ms = -math.inf  # when the wait was last over the limit, or the server was ejected
         self.free_lines: float | None = None
         self.lines = 0.0
-        self.tokens = ColdTokens(0, 1, 0.0, 1.0)  # this sender's share of the cold budget
+        self.tokens = ColdTokens(0, 1, 0.0, 1.0)  # this sender's for the server while it is cold
         self.sender_share = listed.sender_share
-        self.answer_times: deque[float] = deque()
+        self.answer_times_ms: deque[float] = deque()
         # Numbers that failed at this server, and at no other, since its last success.
         self.failed_numbers: set[str] = set()
         self.ejected_for_errors = False
-        self.last_logged: dict[str, float] = {}
+        self.last_logged_ms: dict[str, float] = {}
 
     def restore(self, known: LearnedServer) -> None:
         """Start from restored knowledge.  The cold budget must not use any of it."""
-        self.restored_rate, self.ejected = known.rate_per_s / 1000.0, known.ejected
+        self.restored_rate_per_ms, self.ejected = known.rate_per_s / 1000.0, known.ejected
         self.observed_wait_ms = known.wait_ms
         self.base_latency_ms = math.inf if known.base_latency_ms is None else known.base_latency_ms
         self.threshold = math.inf if known.threshold is None else known.threshold
@@ -291,9 +291,10 @@
         self.list_version = -1
         self.calls: dict[int, Call] = {}
         self.held: dict[int, Call] = {}
-        self.first_dialled: dict[str, float] = {}
-        self.number_busy_until: dict[str, float] = {}
-        self.prune_above = MIN_TRACKED_NUMBERS  # size of first_dialled above which old numbers are pruned
+        # By number: when it was first called, and until when it is assumed to be busy.
+        self.first_dialled_ms: dict[str, float] = {}
+        self.number_busy_until_ms: dict[str, float] = {}
+        self.prune_above = MIN_TRACKED_NUMBERS  # size of first_dialled_ms above which old numbers are pruned
         self.now_ms = self.next_ratio_ms = -math.inf
         self.timer_due_ms = math.inf  # when the earliest timer requested is due
         self.stall_ended_ms = -math.inf  # when this gateway last found that it had stood still
@@ -301,7 +302,7 @@
         self.new_call_meter, self.established_meter = Rate(), Rate()
         self.best_rate = 0.0
         self.restored: dict[str, LearnedServer] = {}  # of servers that no list has named yet
-        self.restored_call_rate, self.restored_ms = 0.0, 0.0
+        self.restored_calls_per_ms, self.restored_ms = 0.0, 0.0
         self.gates_by_pool: dict[int, list[Gate]] = {}
         self.actions: list[Action] = []
 
@@ -359,7 +360,7 @@
                 self.drop_call(self.calls.get(event.call))
             case RestoredKnowledge():
                 self.restored = {known.server: known for known in event.servers}
-                self.restored_call_rate, self.restored_ms = event.new_calls_per_s / 1000.0, now_ms
+                self.restored_calls_per_ms, self.restored_ms = event.new_calls_per_s / 1000.0, now_ms
             case SettingsChanged():
                 self.apply_settings(event.settings)
             case TimerFired():
@@ -376,7 +377,7 @@
             return None
         rate = sum(
             1000.0 / self.pace_window_ms
-            for at_ms in gate.answer_times
+            for at_ms in gate.answer_times_ms
             if at_ms > self.now_ms - self.pace_window_ms
         )
         base_ms, threshold = (None if x == math.inf else x for x in (gate.base_latency_ms, gate.threshold))
@@ -405,7 +406,7 @@
         return call
 
     def on_attempt_succeeded(self, event: AttemptSucceeded) -> None:
-        """Take an established call as a measurement of its server, then drop the call."""
+        """Record the server's answer time and rate, and drop the established call."""
         gate = self.gates.get(event.server)
         call = self.current_call(gate, event)
         if gate is None or call is None:
@@ -416,15 +417,15 @@
             self.estimates.note_wait(self.now_ms, gate.id, event.wait_ms - gate.base_latency_ms)
         gate.last_answer_ms = self.now_ms
         gate.newest_answered_sent_ms = max(gate.newest_answered_sent_ms, call.sent_ms)
-        gate.answer_times.append(self.now_ms)
-        while gate.answer_times[0] <= self.now_ms - self.pace_window_ms:
-            gate.answer_times.popleft()
+        gate.answer_times_ms.append(self.now_ms)
+        while gate.answer_times_ms[0] <= self.now_ms - self.pace_window_ms:
+            gate.answer_times_ms.popleft()
         if self.best_rate > 0:
             self.best_rate *= math.exp((self.established_meter.at_ms - self.now_ms) / BEST_RATE_DECAY_MS)
         self.established_meter.add(self.now_ms)
         self.best_rate = max(self.best_rate, self.established_meter.value(self.now_ms))
         gate.answered_load += call.weight
-        self.first_dialled.pop(call.number, None)
+        self.first_dialled_ms.pop(call.number, None)
         self.drop_call(call)
         gate.failed_numbers.clear()
         if gate.ejected:
@@ -480,9 +481,7 @@
             call.tried_servers.add(gate.id)
             self.eject(gate)
         if call.id in self.held and call.release_done_ms >= self.hold_deadline_ms(call):
-            self.answer(
-                call, Refuse(call.id)
-            )  # too late for another attempt: refused without waiting for a timer
+            self.answer(call, Refuse(call.id))  # too late for another attempt: no need to wait for a timer
 
     def on_error(self, call: Call, gate: Gate, reason: RefusalReason) -> None:
         """Process an error answer: all lines of the number are busy, or the server fails set-ups.
@@ -507,7 +506,7 @@
         call.tried_servers.add(gate.id)
         call.error_count += 1
         if reason is RefusalReason.NUMBER_BUSY and not gate.ejected:
-            self.number_busy_until[call.number] = self.now_ms + NUMBER_BUSY_MS
+            self.number_busy_until_ms[call.number] = self.now_ms + NUMBER_BUSY_MS
             self.answer(call, Fail(call.id))
         elif call.error_count >= MAX_CALL_ERRORS or not any(
             self.is_eligible(other, call) for other in others
@@ -546,7 +545,7 @@
             gate.sender_share = listed.sender_share
             if listed.started_ms != gate.started_ms or returned:
                 gate.started_ms = listed.started_ms or (self.now_ms if returned else None)
-                gate.ejected, gate.free_lines, gate.observed_wait_ms, gate.restored_rate = (
+                gate.ejected, gate.free_lines, gate.observed_wait_ms, gate.restored_rate_per_ms = (
                     False,
                     None,
                     0.0,
@@ -587,15 +586,17 @@
     # -- the call's worth -----------------------------------------------------------------------------
     def assess_worth(self, call: Call, tenant: str | None) -> None:
         """Set the call's worth and, by it, how long the call may be held."""
-        if call.number not in self.first_dialled:
+        if call.number not in self.first_dialled_ms:
             self.new_call_meter.add(self.now_ms)
-        dialled_ms = self.first_dialled.setdefault(call.number, self.now_ms) if call.number else self.now_ms
+        dialled_ms = (
+            self.first_dialled_ms.setdefault(call.number, self.now_ms) if call.number else self.now_ms
+        )
         if self.now_ms - dialled_ms > REDIAL_WINDOW_MS:
-            dialled_ms = self.first_dialled[call.number] = self.now_ms
+            dialled_ms = self.first_dialled_ms[call.number] = self.now_ms
         call.aim_due_ms = dialled_ms + call.call_class.aim_ms
         if call.aim_due_ms <= self.now_ms:
             call.worth *= call.call_class.late_worth
-        if self.number_busy_until.get(call.number, -math.inf) > self.now_ms:
+        if self.number_busy_until_ms.get(call.number, -math.inf) > self.now_ms:
             call.worth *= BUSY_NUMBER_WORTH_FACTOR
         if tenant is not None and self.quotas.beyond(self.now_ms, tenant):
             call.worth *= self.settings.over_quota_worth
@@ -603,13 +604,13 @@
         if call.worth < LOW_WORTH_SHARE * self.min_worth or call.aim_due_ms <= self.now_ms:
             hold_ms = self.time_scale * LATE_HOLD_MS
         call.give_up_ms = self.now_ms + hold_ms
-        if len(self.first_dialled) > self.prune_above:
-            for table in (self.first_dialled, self.number_busy_until):
+        if len(self.first_dialled_ms) > self.prune_above:
+            for table in (self.first_dialled_ms, self.number_busy_until_ms):
                 for number in [n for n, at_ms in table.items() if self.now_ms - at_ms > REDIAL_WINDOW_MS]:
                     del table[number]
             # Where most numbers are recent, pruning removes few of them: without a higher limit every call
             # would scan the whole table.
-            self.prune_above = max(MIN_TRACKED_NUMBERS, 2 * len(self.first_dialled))
+            self.prune_above = max(MIN_TRACKED_NUMBERS, 2 * len(self.first_dialled_ms))
 
     # -- routing and admission ------------------------------------------------------------------------
     def after_event(self, event: Event) -> None:
@@ -710,7 +711,7 @@
 
     def new_call_rate(self) -> float:
         """Return the new calls per ms: the measured average, or the restored rate while that is higher."""
-        restored = self.restored_call_rate * math.exp((self.restored_ms - self.now_ms) / RATE_MS)
+        restored = self.restored_calls_per_ms * math.exp((self.restored_ms - self.now_ms) / RATE_MS)
         return max(restored, self.new_call_meter.value(self.now_ms))
 
     def capacity_share(self, gate: Gate) -> float:
@@ -874,7 +875,7 @@
         """Rule 4: report whether the server is warm or a token is available (estimation/cold_budget.py)."""
         if (progress := self.ramp_progress(gate)) >= 1.0:
             return True
-        part = self.settings.cold_from + (1.0 - self.settings.cold_from) * max(0.0, progress) ** 2
+        ramp_share = self.settings.cold_from + (1.0 - self.settings.cold_from) * max(0.0, progress) ** 2
         if (sure_per_s := self.estimates.sure_per_s(gate.id)) is not None:
             capacity = sure_per_s / 1000.0
         else:
@@ -883,9 +884,10 @@
             rate = max(self.best_rate, ASSUMED_SERVED_SHARE * self.new_call_meter.value(self.now_ms))
             rate *= self.capacity_share(gate) * self.settings.gateway_count * gate.sender_share
             capacity = max(
-                rate, ASSUMED_COLD_SET_UPS / (self.settings.fall_multiple * part * self.settings.fall_ms)
+                rate,
+                ASSUMED_COLD_SET_UPS / (self.settings.fall_multiple * ramp_share * self.settings.fall_ms),
             )
-        per_ms = self.settings.fall_multiple * part * capacity
+        per_ms = self.settings.fall_multiple * ramp_share * capacity
         return gate.tokens.available(self.now_ms, per_ms, self.settings.fall_ms)
 
     def send(self, call: Call, gate: Gate) -> bool:
@@ -894,8 +896,7 @@
             call.server is not None  # rule 2: at most one attempt at a time
             or call.id not in self.calls  # rule 1: nothing after the final answer
             or self.now_ms < call.release_done_ms  # rule 5: the last attempt's release has to be over
-            or gate.status
-            is not ServerStatus.ACTIVE  # rule 3: nothing to a draining server, even in its grace
+            or gate.status is not ServerStatus.ACTIVE  # rule 3: nothing new while draining, even in the grace
             or not self.in_cold_budget(gate)  # rule 4
         ):
             return False
@@ -917,13 +918,15 @@
         # Held calls pass an open gate at a pace: twice its answer rate near the wait limit, faster at a
         # shorter wait.  Otherwise a server that just recovered would get the queues of all senders at once.
         load = gate.estimated_wait_ms(self.now_ms, self.stall_ended_ms) / self.wait_limit_ms
-        rate = len(gate.answer_times) / self.pace_window_ms
+        rate = len(gate.answer_times_ms) / self.pace_window_ms
         if self.now_ms - gate.last_overload_ms >= self.pace_window_ms and self.ramp_progress(gate) >= 1.0:
             # A warm server that is new to this sender, or back, has few answers to derive a pace from and
             # would go unused.  So its rate is taken from its share of the best rate of all servers, or from
             # its restored rate, where these are higher.
             rate = max(
-                rate, ASSUMED_RATE_SHARE * max(gate.restored_rate, self.capacity_share(gate) * self.best_rate)
+                rate,
+                ASSUMED_RATE_SHARE
+                * max(gate.restored_rate_per_ms, self.capacity_share(gate) * self.best_rate),
             )
         gap_ms = min(
             self.time_scale * MAX_PACE_GAP_MS, 1.0 / (PACE_FACTOR * max(rate, 1.0 / self.pace_window_ms))
@@ -967,8 +970,8 @@
 
     def log(self, gate: Gate, text: str) -> None:
         """Log a line about a server, limited in rate per kind; the first ten characters identify the kind."""
-        if self.now_ms - gate.last_logged.get(text[:10], -math.inf) >= LOG_INTERVAL_MS:
-            gate.last_logged[text[:10]] = self.now_ms
+        if self.now_ms - gate.last_logged_ms.get(text[:10], -math.inf) >= LOG_INTERVAL_MS:
+            gate.last_logged_ms[text[:10]] = self.now_ms
             self.actions.append(Log(f"server {gate.id} {text}", gate.id))
 
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""Small helpers for the tests: settings, servers, and a controller driven by hand."""
+"""Test helpers: settings, listed servers, and a controller with a manual clock."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Rig:
-    """A controller with a clock, and what it has sent so far."""
+    """A controller with a manual clock, and the actions it has returned so far."""
 
     def __init__(self, servers: int = 2, **changes: Any) -> None:
         self.controller = Controller(settings(**changes), 1)
@@ -94,7 +94,7 @@
         return self.feed(api.AttemptEnded(number, self.attempts.get(number, 0), server, result, **more))
 
     def tick(self, after_ms: float = 25) -> list[api.Action]:
-        """Timers as an awake host fires them: none more than 25 ms late."""
+        """Advance the clock, firing timers as a host that is not stalled does: none more than 25 ms late."""
         actions: list[api.Action] = []
         end_ms = self.now_ms + after_ms
         while True:
--- a/tests/test_detector.py
+++ b/tests/test_detector.py
@@ -1,4 +1,4 @@
-"""The detector and gate of the design page, on numbers worked out by hand."""
+"""The overload detector and the gate of docs/design.md, on numbers calculated by hand."""
 
 from __future__ import annotations
 
@@ -30,34 +30,34 @@
     assert (g.sent_load, g.answered_load) == (0.0, 0.0)
 
 
-def test_ratio_above_one_point_two_flags_after_twenty_set_ups() -> None:
-    for set_ups, flagged in ((19, False), (20, True)):
+def test_a_ratio_above_1_2_sets_the_overload_flag_after_20_set_ups() -> None:
+    for set_ups, overloaded in ((19, False), (20, True)):
         g = gate(sent_load=13.0, answered_load=10.0, outstanding=3.0, set_ups=set_ups)
         g.update_ratio()
         g.update_overloaded(0.0, 400.0, waiting=True)
-        assert g.overloaded is flagged
+        assert g.overloaded is overloaded
 
 
-def test_a_ratio_of_exactly_one_point_two_does_not_flag() -> None:
+def test_a_ratio_of_exactly_1_2_does_not_set_the_overload_flag() -> None:
     g = gate(sent_load=12.0, answered_load=10.0, outstanding=3.0, set_ups=20)
     g.update_ratio()
     assert not g.ratio_high
 
 
-def test_one_or_two_on_their_way_are_no_overload() -> None:
+def test_one_or_two_outstanding_set_ups_are_no_overload() -> None:
     g = gate(sent_load=2.0, answered_load=0.0, outstanding=2.0, set_ups=20)
     g.update_ratio()
     assert not g.ratio_high
 
 
-def test_an_interval_without_sends_leaves_the_ratio_under() -> None:
+def test_the_ratio_is_not_high_after_an_interval_without_sends() -> None:
     g = gate(sent_average=9.0, answered_average=1.0, outstanding=9.0, set_ups=20, ratio_high=1.0)
     g.update_ratio()
     assert not g.ratio_high
 
 
 @pytest.mark.parametrize(("outstanding", "threshold"), [(4.0, 10.0), (17.0, 17.0)])
-def test_a_ratio_flag_sets_the_threshold_at_least_ten(outstanding: float, threshold: float) -> None:
+def test_a_high_ratio_sets_the_threshold_to_at_least_ten(outstanding: float, threshold: float) -> None:
     g = gate(sent_load=20.0, answered_load=2.0, outstanding=outstanding, set_ups=20)
     assert g.threshold == math.inf
     g.update_ratio()
@@ -74,7 +74,7 @@
     assert not g.overloaded
 
 
-def test_the_flag_clears_when_the_ratio_falls_or_nothing_waits() -> None:
+def test_the_overload_flag_clears_when_the_ratio_falls_or_nothing_waits() -> None:
     g = gate(sent_load=20.0, answered_load=2.0, outstanding=4.0, set_ups=20)
     g.update_ratio()
     g.update_overloaded(0.0, 400.0, waiting=True)
@@ -90,7 +90,7 @@
     assert not g.overloaded
 
 
-def test_a_wait_over_the_threshold_in_time_flags_at_once() -> None:
+def test_a_wait_over_the_limit_sets_the_overload_flag_at_once() -> None:
     rig = Rig(servers=1)
     rig.call(1)
     limit_ms = rig.controller.wait_limit_ms
@@ -100,8 +100,8 @@
     assert not rig.of(api.Send)
 
 
-def flagged_rig() -> Rig:
-    """One server with one set-up out and three calls held."""
+def overloaded_rig() -> Rig:
+    """One overloaded server with one pending set-up, and three held calls."""
     rig = Rig(servers=1, gateway_count=16)
     rig.call(1)
     rig.tick(rig.controller.wait_limit_ms + 1)
@@ -114,12 +114,14 @@
     return rig
 
 
-def test_each_answer_releases_its_weight_dearest_then_oldest() -> None:
-    rig = flagged_rig()
+def test_each_answer_releases_its_weight_by_worth_then_age() -> None:
+    rig = overloaded_rig()
     g = rig.controller.gates["s0"]
     g.base_latency_ms = 40.0
     rig.controller.wait_limit_ms = 300.0
-    rig.succeed(1, wait_ms=640)  # 0.6 of 600 ms: 360 is over the threshold, not over the dear call's 480
+    rig.succeed(
+        1, wait_ms=640
+    )  # 0.6 of 600 ms: 360 is over the limit of 300, but under the 480 for calls of class dear
     assert [send.call for send in rig.of(api.Send)] == [3]
     assert g.overloaded
 
@@ -135,14 +137,14 @@
     assert not rig.of(api.Send)
 
 
-def test_a_flagged_server_with_nothing_outstanding_gets_its_oldest_call_after_a_pause() -> None:
-    rig = flagged_rig()
+def test_an_overloaded_server_with_nothing_outstanding_gets_the_oldest_call_after_a_pause() -> None:
+    rig = overloaded_rig()
     g = rig.controller.gates["s0"]
     sent_ms = g.last_sent_ms
     g.observed_wait_ms = 430.0
     rig.end_attempt(1, "s0", api.Result.ERROR, reason=api.RefusalReason.NUMBER_BUSY)
     assert not rig.of(api.Send)
-    # Two calls in a second, with one server to go to.
+    # Two new calls a second, and a single server.
     setattr(rig.controller.new_call_meter, "value", lambda now_ms: 0.002)  # noqa: B010
     pause_ms = 500.0 * control.TRIAL_GAPS * (430.0 / rig.controller.wait_limit_ms) ** 2
     rig.tick(sent_ms + pause_ms - 1 - rig.now_ms)
@@ -153,7 +155,7 @@
     assert not rig.of(api.Send)
 
 
-def test_two_tries_after_full_then_refused() -> None:
+def test_a_call_is_refused_after_two_servers_answered_full() -> None:
     rig = Rig(servers=3)
     rig.call(1, preferred_pool=1)
     assert [send.server for send in rig.of(api.Send)] == ["s1"]
@@ -164,7 +166,7 @@
     assert rig.last[0] == api.Refuse(1)
 
 
-def test_a_server_that_fails_many_numbers_is_taken_out_and_calls_go_elsewhere() -> None:
+def test_a_server_that_fails_many_numbers_is_ejected_and_its_calls_are_rerouted() -> None:
     rig = Rig(servers=2)
     for number in range(control.MAX_FAILED_NUMBERS):
         rig.call(number)
@@ -176,7 +178,7 @@
     assert [send.server for send in rig.of(api.Send)] == ["s1"]
 
 
-def test_one_busy_number_does_not_take_its_server_out() -> None:
+def test_one_busy_number_does_not_eject_its_server() -> None:
     rig = Rig(servers=2)
     for call in range(6):
         rig.call(call, number="same")
@@ -185,8 +187,8 @@
     assert not rig.controller.gates["s0"].ejected
 
 
-def test_waiting_calls_do_not_pass_a_cleared_gate_in_one_burst() -> None:
-    rig = flagged_rig()
+def test_held_calls_do_not_pass_a_reopened_gate_in_one_burst() -> None:
+    rig = overloaded_rig()
     rig.succeed(1, wait_ms=10)
     assert len(rig.of(api.Send)) == 1
     rig.tick(1)
@@ -195,18 +197,18 @@
 
 def test_free_lines_are_counted_between_reports() -> None:
     rig = Rig(servers=1)
-    told = api.ServerReport("s0", api.Result.OK, api.LoadReport(free_lines=1.0), probe=False)
-    rig.feed(told)
+    report = api.ServerReport("s0", api.Result.OK, api.LoadReport(free_lines=1.0), probe=False)
+    rig.feed(report)
     rig.call(1)
     assert [send.call for send in rig.of(api.Send)] == [1]
     rig.succeed(1)
     rig.call(2)
-    assert not rig.of(api.Send)  # our own set-up took the last line
+    assert not rig.of(api.Send)  # the gateway's own set-up has taken the last line
     rig.end_attempt(1, "s0", api.Result.OK, call_finished=True)
-    assert [send.call for send in rig.of(api.Send)] == [2]  # and its end gave it back
+    assert [send.call for send in rig.of(api.Send)] == [2]  # and the end of the call freed it
 
 
-def test_a_small_server_is_not_taken_for_silent_within_its_usual_time() -> None:
+def test_a_small_server_does_not_count_as_silent_within_its_usual_answer_time() -> None:
     rig = Rig(servers=2)
     g = rig.controller.gates["s0"]
     g.base_latency_ms = 250.0
@@ -220,8 +222,8 @@
     assert rig.of(api.Cancel) == [api.Cancel(1, 0)]
 
 
-def test_a_late_call_is_not_released_to_a_flagged_server() -> None:
-    rig = flagged_rig()
+def test_a_late_call_is_not_released_to_an_overloaded_server() -> None:
+    rig = overloaded_rig()
     g = rig.controller.gates["s0"]
     g.base_latency_ms = 40.0
     rig.controller.wait_limit_ms = 300.0
@@ -232,7 +234,7 @@
     assert not rig.of(api.Send)
 
 
-def test_the_report_of_a_failed_probe_is_no_news() -> None:
+def test_the_report_of_a_failed_probe_is_ignored() -> None:
     rig = Rig(servers=1)
     report = api.LoadReport(free_lines=0.0, wait_ms=900.0)
     rig.feed(api.ServerReport("s0", api.Result.TIMEOUT, report, probe=True))
@@ -241,8 +243,8 @@
     assert rig.of(api.Send)
 
 
-def test_an_idle_server_of_a_busy_site_takes_calls_without_a_pace_until_it_is_pressed() -> None:
-    """Guards the first seconds: with few answers to make a pace from, idle servers were kept from calls."""
+def test_an_idle_server_of_a_busy_site_is_not_paced_until_it_was_overloaded() -> None:
+    """In the first seconds there are few answers to derive a pace from, and idle servers got no calls."""
     rig = Rig(servers=1)
     gate = rig.controller.gates["s0"]
     rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), complete=False)
@@ -252,7 +254,7 @@
     rig.list_of(listed("s0", 0), complete=False)
     rig.tick()
     sent = len(rig.of(api.Send))
-    assert 3 <= sent <= 50  # some at once, no more than the wait threshold has room for
+    assert 3 <= sent <= 50  # some at once, but no more than fit the wait limit
     for send in rig.of(api.Send):
         rig.succeed(send.call, wait_ms=20)
     gate.last_overload_ms = rig.now_ms
@@ -263,18 +265,18 @@
     assert len(rig.of(api.Send)) >= 3
 
 
-def test_calls_held_pass_a_server_that_was_pressed_one_by_one() -> None:
+def test_held_calls_pass_a_server_that_was_overloaded_one_by_one() -> None:
     rig = Rig(servers=1)
     rig.call(1, expires_in_ms=9000)
-    rig.tick(600)  # no answer for longer than the wait threshold: pressed
+    rig.tick(600)  # no answer for longer than the wait limit: overloaded
     for number in range(2, 9):
         rig.call(number)
     rig.succeed(1, wait_ms=20)
     assert len(rig.of(api.Send)) <= 2
 
 
-def test_a_warm_server_that_is_new_here_is_paced_by_what_it_can_surely_do() -> None:
-    """Guards calls held while an idle server stands by for want of answers to make a pace from."""
+def test_a_warm_server_that_is_new_to_the_gateway_is_paced_by_its_assumed_rate() -> None:
+    """Without an assumed rate an idle server goes unused: it has no answers to derive a pace from."""
     rig = Rig(servers=1)
     for number in range(300):  # 50 a second, all answered: the best rate is known
         rig.now_ms += 20
@@ -291,20 +293,20 @@
                 assert send.server == "s1"
                 rig.succeed(send.call, "s1", wait_ms=20)
                 sent += 1
-    assert sent >= 6, "without it two, one in 200 ms"
+    assert sent >= 6, "without the assumed rate there are two, 200 ms apart"
 
 
-def failing(rig: Rig, number: int, *servers: str) -> None:
-    """A call that meets an error at each of these."""
+def fail_call(rig: Rig, number: int, *servers: str) -> None:
+    """Make a call that gets an error from each of these servers in turn."""
     rig.call(number, preferred_pool=int(servers[0][1]))
     for server in servers:
         rig.end_attempt(number, server, api.Result.ERROR)
 
 
-def test_a_server_that_fails_some_set_ups_is_used_on_and_one_that_fails_all_is_taken_out() -> None:
+def test_a_server_that_fails_some_set_ups_stays_in_use_and_one_that_fails_all_is_ejected() -> None:
     rig = Rig(servers=2)
     gate = rig.controller.gates["s0"]
-    for number in range(60):  # two of five fail
+    for number in range(60):  # two in five fail
         rig.now_ms += 50
         rig.call(number)
         if number % 5 < 2:
@@ -324,15 +326,15 @@
     assert gate.ejected_for_errors
 
 
-def test_numbers_that_fail_everywhere_are_not_the_servers_fault() -> None:
-    """Guards the servers against callers that ask for hundreds of numbers none of them knows."""
+def test_numbers_that_fail_at_all_servers_eject_none() -> None:
+    """Callers that ask for hundreds of unknown numbers must not get the servers ejected."""
     rig = Rig(servers=2)
     for number in range(100):
         rig.now_ms += 20
-        failing(rig, number, "s0", "s1")
+        fail_call(rig, number, "s0", "s1")
         assert rig.of(api.Fail) == [api.Fail(number)]
         assert not any(gate.ejected for gate in rig.controller.gates.values())
-    for number in range(100, 100 + 3 * 8):  # all at once, before the second server has said anything
+    for number in range(100, 100 + 3 * 8):  # all at once, before the second server has answered any
         rig.call(number)
     for number in range(100, 100 + 3 * 8):
         rig.end_attempt(number, "s0", api.Result.ERROR)
@@ -344,7 +346,7 @@
     assert len(rig.controller.gates["s0"].failed_numbers) < 8
 
 
-def test_a_call_that_failed_is_tried_again_there_when_no_other_has_room_and_not_for_ever() -> None:
+def test_a_failed_call_is_retried_at_its_server_when_no_other_is_open_up_to_a_limit() -> None:
     rig = Rig(servers=2)
     rig.controller.gates["s1"].overloaded = True
     rig.controller.gates["s1"].observed_wait_ms = 5000.0
@@ -357,7 +359,7 @@
 
 
 def test_one_lost_answer_does_not_make_a_working_server_slow() -> None:
-    """Guards the gate: the processor has one line, and those sent later have been answered long since."""
+    """A processor has a single queue: a set-up is lost if others sent later were answered long ago."""
     rig = Rig(servers=1)
     gate = rig.controller.gates["s0"]
     rig.call(1, expires_in_ms=9000)
@@ -373,16 +375,16 @@
         assert not gate.ejected
         if cancelled:
             break
-    assert cancelled == [1], "it is called off, to be sent again"
+    assert cancelled == [1], "the attempt is cancelled, to be sent again"
     rig.end_attempt(1, "s0", api.Result.CANCELLED)
     assert gate.observed_wait_ms < 100
     rig.tick(275)
-    assert not rig.of(api.Send), "its release is awaited"
+    assert not rig.of(api.Send), "its release is not over"
     rig.tick(50)
-    assert [send.call for send in rig.of(api.Send)] == [1], "though longer here than a call is held"
+    assert [send.call for send in rig.of(api.Send)] == [1], "although the call is older than the longest hold"
 
 
-def test_a_server_that_answers_none_is_slow_all_the_same() -> None:
+def test_a_server_that_stops_answering_counts_as_overloaded() -> None:
     rig = Rig(servers=1)
     gate = rig.controller.gates["s0"]
     rig.call(1)
@@ -395,29 +397,29 @@
 
 
 def test_the_cost_of_a_tick_does_not_grow_with_the_square_of_the_servers() -> None:
-    """Counted in looks at a gate, so that no clock has a say: all servers are silent and owe answers."""
+    """Counts overload checks instead of time.  All servers are silent and have a pending set-up."""
 
-    def looks(servers: int) -> int:
+    def checks(servers: int) -> int:
         rig = Rig(servers=servers, gateway_count=1, release_ms=200.0)
         for number in range(servers):
             rig.call(number, preferred_pool=number, expires_in_ms=9000)
         rig.tick(3000)
-        look, count = rig.controller.check_overload, 0
+        check_overload, count = rig.controller.check_overload, 0
 
         def counted(gate: control.Gate) -> bool:
             nonlocal count
             count += 1
-            return look(gate)
+            return check_overload(gate)
 
         rig.controller.check_overload = counted  # type: ignore[method-assign]
         rig.tick()
         return count
 
-    assert 0 < looks(160) < 3 * looks(80)
+    assert 0 < checks(160) < 3 * checks(80)
 
 
-def test_servers_whose_lines_are_told_may_all_go() -> None:
-    """Guards the shares of the others from a look for the least of no lines at all."""
+def test_all_servers_with_reported_lines_may_be_removed() -> None:
+    """The shares of the remaining servers must not take the minimum of an empty set of line counts."""
     rig = Rig(servers=1)
     rig.feed(api.ServerReport("s0", api.Result.OK, api.LoadReport(5, 10), False))
     rig.now_ms += 1000.0
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Where the decisions lie and what they may use, and what the decision module's work grows with."""
+"""The decision module's location, its allowed imports, and how its work grows."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def imports_of(tree: ast.Module) -> Iterator[str]:
-    """The modules that a source imports, wherever in it; a relative import as dots."""
+    """Yield the modules that a source imports at any depth; a relative import starts with dots."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -48,7 +48,7 @@
     assert names & IO_BUILTINS == set()
 
 
-def test_the_decisions_lie_in_the_modules_that_the_deploy_file_names() -> None:
+def test_the_controller_is_in_the_modules_that_the_deploy_file_names() -> None:
     assert Path(inspect.getfile(Controller)) in POLICY
     for path in POLICY:
         lines = path.read_text().splitlines()
@@ -56,62 +56,62 @@
         assert "capershelf/interface.py" in lines[0]
 
 
-def test_numbers_all_young_are_not_looked_through_at_every_call() -> None:
-    """Guards the processor: at some hundred calls a second the look at 4,000 numbers took most of a core."""
+def test_recent_numbers_are_not_scanned_at_every_call() -> None:
+    """At some hundred calls a second, scanning 4,000 numbers at every call took most of a core."""
     rig = Rig(1)
-    looks: list[int] = []
+    scans: list[int] = []
 
-    class Watched(dict[str, float]):
+    class CountedDict(dict[str, float]):
         def items(self) -> dict_items[str, float]:
-            looks.append(len(self))
+            scans.append(len(self))
             return super().items()
 
-    rig.controller.first_dialled = Watched()
+    rig.controller.first_dialled_ms = CountedDict()
     for number in range(3 * MIN_TRACKED_NUMBERS):
         rig.call(number, expires_in_ms=1)
         rig.feed(CallAbandoned(number))
-    assert sum(looks) <= 2 * 3 * MIN_TRACKED_NUMBERS
+    assert sum(scans) <= 2 * 3 * MIN_TRACKED_NUMBERS
     rig.now_ms += REDIAL_WINDOW_MS + 1.0
     for number in range(3 * MIN_TRACKED_NUMBERS, 9 * MIN_TRACKED_NUMBERS):
         rig.call(number, expires_in_ms=1)
         rig.feed(CallAbandoned(number))
-    assert len(rig.controller.first_dialled) <= 6 * MIN_TRACKED_NUMBERS
+    assert len(rig.controller.first_dialled_ms) <= 6 * MIN_TRACKED_NUMBERS
 
 
-class CountedPlace(int):
-    """A place that counts how often it is held against another."""
+class CountedPool(int):
+    """A pool id that counts its comparisons."""
 
     compared = 0
 
     def __eq__(self, other: object) -> bool:
-        CountedPlace.compared += 1
+        CountedPool.compared += 1
         return int(self) == other
 
     def __hash__(self) -> int:
         return hash(int(self))
 
 
-def test_a_call_is_not_held_against_every_place_of_its_class(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the processor: with 1,100 places two fifths of a call's cost was the search in their list."""
-    monkeypatch.setattr(CountedPlace, "compared", 0)
-    places = 1100
-    found = config.read_settings(planned_settings(places))
+def test_a_call_is_not_compared_with_every_pool_of_its_class(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With 1,100 pools, searching their list was two fifths of the cost of a call."""
+    monkeypatch.setattr(CountedPool, "compared", 0)
+    pools = 1100
+    found = config.read_settings(planned_settings(pools))
     controller = Controller(found, 1)
     members = [
-        ListedServer(f"s{place}", CountedPlace(place), ServerStatus.ACTIVE) for place in range(0, places, 55)
+        ListedServer(f"s{pool}", CountedPool(pool), ServerStatus.ACTIVE) for pool in range(0, pools, 55)
     ]
     controller.handle(1000.0, ServerList(1, True, tuple(members)))
-    CountedPlace.compared = 0
+    CountedPool.compared = 0
     calls = 50
     for number in range(calls):
-        far_end = 55 * number + 1  # never at a member's place: all of them are looked at
+        preferred_pool = 55 * number + 1  # never a member's pool: all of them are considered
         controller.handle(
-            1000.0 + 20.0 * number, NewCall(number, 9000.0, found.classes[0].name, far_end, "n")
+            1000.0 + 20.0 * number, NewCall(number, 9000.0, found.classes[0].name, preferred_pool, "n")
         )
-    assert CountedPlace.compared <= 4 * calls * len(members)
+    assert CountedPool.compared <= 4 * calls * len(members)
 
 
-def test_places_that_are_no_numbers_are_named() -> None:
+def test_pools_that_are_not_numbers_are_named() -> None:
     broken = planned_settings(3)
     for pool in (5, None, ["0"], [0, None], [True]):
         broken["family-info"]["pools-by-class"][1] = pool
--- a/tests/test_memory_decisions.py
+++ b/tests/test_memory_decisions.py
@@ -1,4 +1,4 @@
-"""What is trusted, how it ages, when it is written, and what the module makes of it.  No socket, no disk."""
+"""Stored knowledge: ageing, trust, writing, and its use by the decision module.  No sockets, no disk."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 from tests.memory_rig import NOW_MS, book, located, news, record
 from tests.rig import Rig, listed
 
-LIVES = HalfLives()
+HALF_LIVES = HalfLives()
 HOUR_MS, DAY_MS = 3_600_000.0, 86_400_000.0
 MOST_AGE_MS = 7 * DAY_MS
-GONE, DRAINING = api.ServerStatus.REMOVED, api.ServerStatus.DRAINING
+REMOVED, DRAINING = api.ServerStatus.REMOVED, api.ServerStatus.DRAINING
 
 
 # -- ageing -------------------------------------------------------------------------------------------
 def aged(age_ms: float, part: float = 1.0, **changes: Any) -> api.LearnedServer | None:
-    return age_server(record(**changes), Clocks(NOW_MS, NOW_MS + age_ms), LIVES, MOST_AGE_MS, part)
+    return age_server(record(**changes), Clocks(NOW_MS, NOW_MS + age_ms), HALF_LIVES, MOST_AGE_MS, part)
 
 
 def test_each_kind_of_knowledge_has_its_own_half_life() -> None:
@@ -52,7 +52,7 @@
     assert aged(MOST_AGE_MS + 1.0) is None
 
 
-def test_silence_is_remembered_for_one_half_life() -> None:
+def test_ejection_is_remembered_for_one_half_life() -> None:
     for age_ms, silent in ((0.0, True), (9_999.0, True), (10_001.0, False)):
         known = aged(age_ms, silent=True)
         assert known is not None
@@ -63,7 +63,7 @@
 @seed(0xECB7997A347150F4FB27D3DAADF591145A18D2B3563BC0FA85ADD05E65C197BB206B90E985262CB3F83E5A4697EF26A3)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=300, database=None)
 @given(st.floats(0, 8 * DAY_MS), st.floats(0, 8 * DAY_MS), st.floats(0.01, 4.0))
-def test_what_is_older_never_claims_more(one_ms: float, other_ms: float, part: float) -> None:
+def test_older_knowledge_never_claims_more(one_ms: float, other_ms: float, part: float) -> None:
     young, old = aged(min(one_ms, other_ms), part), aged(max(one_ms, other_ms), part)
     if young is None:
         assert old is None
@@ -76,17 +76,17 @@
     assert (old.threshold or math.inf) >= (young.threshold or math.inf) >= MIN_THRESHOLD
 
 
-def test_a_clock_that_was_moved_makes_knowledge_older_never_newer() -> None:
+def test_a_clock_step_makes_knowledge_older_never_newer() -> None:
     for step_ms in (-HOUR_MS, HOUR_MS):
         clocks = Clocks(NOW_MS, NOW_MS + step_ms)
         assert clocks.age_ms(NOW_MS) == HOUR_MS
         assert clocks.age_ms(NOW_MS - 5.0) == HOUR_MS + 5.0
-        assert clocks.age_ms(NOW_MS + 5.0) == HOUR_MS  # learned after the write: a step in between
+        assert clocks.age_ms(NOW_MS + 5.0) == HOUR_MS  # learned after the write: the clock was set in between
     assert Clocks(NOW_MS, NOW_MS - 3.0).ahead_ms == 3.0
     assert Clocks(NOW_MS, NOW_MS + 3.0).ahead_ms == 0.0
 
 
-def test_shares_go_with_the_number_of_proxies_and_planners() -> None:
+def test_shares_scale_with_the_numbers_of_proxies_and_planners() -> None:
     assert part_of(4, 8, 1) == 0.5
     assert part_of(4, 4, 2) == 0.5
     known = aged(0.0, part_of(4, 8, 2))
@@ -95,11 +95,11 @@
     assert known.threshold == 10.0  # of 40
     assert aged(0.0, 0.1) == replace(known, rate_per_s=2.0, threshold=MIN_THRESHOLD)
     clocks = Clocks(NOW_MS + 1, NOW_MS + 1)
-    assert age_asked(book(1, asked_per_s=60.0), clocks, LIVES, MOST_AGE_MS, 2) == 30.0
-    assert age_asked(book(1), Clocks(NOW_MS, NOW_MS + 8 * DAY_MS), LIVES, MOST_AGE_MS, 1) == 0.0
+    assert age_asked(book(1, asked_per_s=60.0), clocks, HALF_LIVES, MOST_AGE_MS, 2) == 30.0
+    assert age_asked(book(1), Clocks(NOW_MS, NOW_MS + 8 * DAY_MS), HALF_LIVES, MOST_AGE_MS, 1) == 0.0
 
 
-def test_a_half_life_of_nothing_keeps_nothing() -> None:
+def test_a_half_life_of_zero_keeps_nothing() -> None:
     assert weight(1.0, 0.0) == 0.0
     assert weight(0.0, 0.0) == 1.0
     assert weight(1e300, 1e-3) < 1e-300
@@ -111,7 +111,7 @@
     return [one.verdict for one in judge_list({known.uid: known}, told)]
 
 
-def test_what_proves_that_it_is_the_same_process() -> None:
+def test_evidence_that_a_server_is_the_same_process() -> None:
     late = NOW_MS - 1e6
     assert verdict(record(), located()) == [Verdict.SAME]
     assert verdict(record(), located(started_ms=late + 1)) == [Verdict.STARTED_SINCE]
@@ -122,21 +122,21 @@
     assert verdict(record(started_ms=None, vouched=False), located(started_ms=None)) == [Verdict.UNPROVEN]
     assert verdict(record(), located(endpoint="s9:1")) == [Verdict.MOVED]
     assert verdict(record(), located(), located("s9", endpoint="s0:1")) == [Verdict.SHARED]
-    assert verdict(record(), located(), located("s9", endpoint="s0:1", standing=GONE)) == [Verdict.SAME]
+    assert verdict(record(), located(), located("s9", endpoint="s0:1", standing=REMOVED)) == [Verdict.SAME]
     assert verdict(record(), located("s9", endpoint="s0:1")) == []  # a successor at its address
     assert verdict(record(), located(standing=DRAINING)) == [Verdict.LEAVING]
     assert verdict(record(seen_ms=late - 1), located()) == [Verdict.IMPOSSIBLE]
 
 
-def test_without_proof_only_the_way_there_is_left() -> None:
+def test_without_proof_only_the_base_latency_is_kept() -> None:
     known = aged(0.0)
     assert known is not None
     assert way_only(known) == api.LearnedServer("s0", base_latency_ms=8.0)
 
 
 # -- the keeper ---------------------------------------------------------------------------------------
-class Door:
-    """What a module would give out."""
+class FakeLearnedSource:
+    """Stands in for a controller's learned state."""
 
     def __init__(self) -> None:
         self.known: dict[str, api.LearnedServer] = {}
@@ -148,22 +148,22 @@
         return 0.05
 
 
-class Kept:
-    """A keeper with what it hands over."""
+class KeeperRig:
+    """A keeper and the snapshots that it hands over."""
 
     def __init__(self, known: Book | None = None, planners: int = 1, senders: int = 4) -> None:
         self.handed: list[Snapshot] = []
-        self.door = Door()
-        self.keeper = Keeper(Terms(0, planners, senders, LIVES, MOST_AGE_MS), known, self.handed.append)
+        self.source = FakeLearnedSource()
+        self.keeper = Keeper(Terms(0, planners, senders, HALF_LIVES, MOST_AGE_MS), known, self.handed.append)
 
     def learn(self, uid: str, now_ms: float, **changes: object) -> None:
-        self.door.known[uid] = replace(api.LearnedServer(uid, 20.0, 5.0, 8.0), **changes)  # type: ignore[arg-type]
+        self.source.known[uid] = replace(api.LearnedServer(uid, 20.0, 5.0, 8.0), **changes)  # type: ignore[arg-type]
         self.keeper.mark_changed(uid)
-        self.keeper.collect(self.door, now_ms, False)
+        self.keeper.collect(self.source, now_ms, False)
 
 
-def test_the_keeper_recalls_each_server_once_and_what_callers_ask_at_the_start() -> None:
-    kept = Kept(book(60, 2))
+def test_the_keeper_restores_each_server_once_and_the_call_rate_at_the_start() -> None:
+    kept = KeeperRig(book(60, 2))
     first = kept.keeper.recall(news(located("s0")), NOW_MS + 60)
     assert first is not None
     assert first.new_calls_per_s == 60.0
@@ -171,14 +171,14 @@
     assert first.servers[0].rate_per_s == pytest.approx(60.0)
     later = kept.keeper.recall(news(located("s1"), whole=False), NOW_MS + 60 + RATE_MS)
     assert later is not None
-    # As far as the module itself has let it fade: it goes by the newest that it is told.
+    # Decayed as far as in the module, which uses the newest value it is given.
     assert later.new_calls_per_s == pytest.approx(60.0 / math.e)
     assert [one.server for one in later.servers] == ["s1"]
     assert kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS + 60) is None
 
 
 def test_unproven_and_changed_servers_start_without_a_rate() -> None:
-    kept = Kept(book(60, 3))
+    kept = KeeperRig(book(60, 3))
     found = kept.keeper.recall(
         news(located("s0", started_ms=None), located("s1", started_ms=NOW_MS), located("s2")), NOW_MS + 60
     )
@@ -188,14 +188,14 @@
     assert [one.base_latency_ms for one in found.servers] == pytest.approx([8.0, 8.0])
 
 
-def test_what_drains_goes_or_starts_again_leaves_nothing() -> None:
+def test_knowledge_of_a_server_that_drains_leaves_or_restarts_is_dropped() -> None:
     for change in (
         located("s0", standing=DRAINING),
-        located("s0", standing=GONE),
+        located("s0", standing=REMOVED),
         located("s0", started_ms=NOW_MS + 5),
         located("s0", endpoint="elsewhere:1"),
     ):
-        kept = Kept(book(1, 1))
+        kept = KeeperRig(book(1, 1))
         kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS)
         kept.learn("s0", NOW_MS)
         assert "s0" in kept.keeper.servers
@@ -204,17 +204,17 @@
     kept.keeper.recall(news(located("s1")), NOW_MS)
     kept.learn("s0", NOW_MS)
     assert "s0" not in kept.keeper.servers
-    back = Kept(book(1, 1))  # and one that drained at the start has lost what was known of it
+    back = KeeperRig(book(1, 1))  # a server that drains at the start loses its knowledge too
     back.keeper.recall(news(located("s0", standing=DRAINING)), NOW_MS)
     assert back.keeper.recall(news(located("s0")), NOW_MS) is None
 
 
-def test_a_snapshot_stays_as_it_was_and_only_one_waits() -> None:
-    kept = Kept()
+def test_a_snapshot_does_not_change_and_only_one_is_pending() -> None:
+    kept = KeeperRig()
     kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS)
     kept.learn("s0", NOW_MS)
     kept.learn("s0", NOW_MS + 2 * HAND_OVER_MS, rate_per_s=90.0)
-    assert len(kept.handed) == 1  # the first still waits
+    assert len(kept.handed) == 1  # the first is still pending
     kept.handed[0].taken = True
     kept.learn("s1", NOW_MS + 4 * HAND_OVER_MS)
     assert len(kept.handed) == 2
@@ -223,25 +223,25 @@
     assert kept.handed[1].servers["s0"].rate_per_s == 90.0
     kept.learn("s1", NOW_MS + 5 * HAND_OVER_MS, ejected=True)
     assert len(kept.handed) == 2
-    kept.keeper.collect(kept.door, NOW_MS + 5 * HAND_OVER_MS, True)
+    kept.keeper.collect(kept.source, NOW_MS + 5 * HAND_OVER_MS, True)
     assert kept.handed[2].servers["s1"].silent
 
 
-def test_a_sweep_takes_a_bounded_piece_and_an_end_takes_all() -> None:
-    kept = Kept()
+def test_a_sweep_collects_a_bounded_number_and_the_last_one_all() -> None:
+    kept = KeeperRig()
     uids = [f"s{n}" for n in range(5 * A_SWEEP)]
     kept.keeper.recall(news(*(located(uid) for uid in uids)), NOW_MS)
     for uid in uids:
-        kept.door.known[uid] = api.LearnedServer(uid)
+        kept.source.known[uid] = api.LearnedServer(uid)
         kept.keeper.mark_changed(uid)
-    kept.keeper.collect(kept.door, NOW_MS, False)
+    kept.keeper.collect(kept.source, NOW_MS, False)
     assert len(kept.keeper.servers) == A_SWEEP
-    kept.keeper.collect(kept.door, NOW_MS, True)
+    kept.keeper.collect(kept.source, NOW_MS, True)
     assert len(kept.keeper.servers) == len(uids)
 
 
-def test_the_best_rate_is_kept_through_a_quiet_hour_and_fades() -> None:
-    kept = Kept()
+def test_the_best_rate_is_kept_through_a_quiet_hour_and_decays() -> None:
+    kept = KeeperRig()
     kept.keeper.recall(news(located("s0")), NOW_MS)
     kept.learn("s0", NOW_MS, rate_per_s=50.0)
     kept.learn("s0", NOW_MS + HOUR_MS, rate_per_s=1.0)
@@ -251,17 +251,17 @@
     assert kept.keeper.servers["s0"].rate_per_s == 26.0
 
 
-def test_what_is_carried_over_two_restarts_is_as_old_as_it_is() -> None:
-    kept = Kept(book(1, 1, asked_per_s=0.0, saved_ms=NOW_MS))
+def test_knowledge_carried_over_two_restarts_keeps_its_age() -> None:
+    kept = KeeperRig(book(1, 1, asked_per_s=0.0, saved_ms=NOW_MS))
     kept.keeper.recall(news(located("s0")), NOW_MS + HOUR_MS)
-    kept.keeper.collect(kept.door, NOW_MS + HOUR_MS, True)
+    kept.keeper.collect(kept.source, NOW_MS + HOUR_MS, True)
     assert kept.handed[0].servers["s0"].seen_ms == NOW_MS
-    # The wait has faded once already: it must not count again for what it was.
+    # The wait has decayed and must not return to its stored value.
     assert kept.handed[0].servers["s0"].wait_ms == pytest.approx(0.0)
 
 
 # -- writing ------------------------------------------------------------------------------------------
-def test_writes_go_by_the_period_sooner_after_a_large_change_and_back_off_after_failures() -> None:
+def test_writes_follow_the_period_come_sooner_after_a_large_change_and_back_off_after_failures() -> None:
     schedule = Schedule(10_000.0, NOW_MS)
     assert schedule.due_ms() == math.inf
     schedule.changed(False)
@@ -276,7 +276,7 @@
     assert schedule.due_ms() == math.inf
 
 
-def test_a_large_change_is_one_that_the_next_start_would_miss() -> None:
+def test_which_changes_are_large() -> None:
     old = record()
     assert large_change(None, old)
     assert not large_change(old, msgspec.structs.replace(old, wait_ms=900.0, seen_ms=NOW_MS + 1))
@@ -285,14 +285,14 @@
     assert not large_change(record(rate_per_s=0.1), record(rate_per_s=0.9))
 
 
-def test_several_planners_make_one_book() -> None:
+def test_the_records_of_several_planners_are_merged() -> None:
     one = {"s0": record(), "s1": record("s1")}
     two = {"s0": record(rate_per_s=5.0, base_ms=6.0, threshold=None, seen_ms=NOW_MS + 1, wait_ms=7.0)}
     both = merge([one, two])
     assert [r.uid for r in both] == ["s0", "s1"]
     assert (both[0].rate_per_s, both[0].base_ms, both[0].threshold, both[0].wait_ms) == (25.0, 6.0, 40.0, 7.0)
     restarted = {"s0": record(started_ms=NOW_MS, seen_ms=NOW_MS + 2)}
-    assert merge([one, restarted])[0].rate_per_s == 20.0  # what the process before did is not added
+    assert merge([one, restarted])[0].rate_per_s == 20.0  # the rate of the previous process is not added
 
 
 # -- the module ---------------------------------------------------------------------------------------
@@ -310,12 +310,12 @@
 @seed(0x39CA349D07431EC9380653567D87CA843F2CABB8A0CD6EC031465F80FA20EA9C66882CDDF572EE5FDBF8804C2CD94CF2)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=40, database=None)
 @given(FIGURES, st.floats(0, 1e4), st.lists(st.integers(1, 60), min_size=30, max_size=60))
-def test_no_memory_of_any_kind_raises_the_cold_budget(
+def test_restored_knowledge_never_raises_the_cold_budget(
     known: api.LearnedServer, asked_per_s: float, gaps: list[int]
 ) -> None:
-    """Even where the host has judged wrongly: recalled as warm, listed as cold.
+    """Even where the host restores a cold server's knowledge as if the server were warm.
 
-    The budget is worked out here from what this life has seen alone: this gateway's share of the fleet's.
+    The budget is calculated here from what this process has seen: this gateway's share of the fleet's budget.
     """
     rig = Rig(0)
     rig.feed(api.RestoredKnowledge(asked_per_s, (known,)))
@@ -342,13 +342,13 @@
         rig.all.clear()
 
 
-def test_the_module_starts_from_what_is_recalled_and_gives_it_out_again() -> None:
+def test_the_module_starts_from_restored_knowledge_and_returns_it() -> None:
     rig = Rig(0)
     known = api.LearnedServer("s0", 30.0, 120.0, 9.0, 25.0, False)
     rig.feed(api.RestoredKnowledge(40.0, (known, api.LearnedServer("s9", 1.0))))
     rig.list_of(listed("s0", 0), listed("s1", 1))
     gate = rig.controller.gates["s0"]
-    assert (gate.restored_rate, gate.observed_wait_ms, gate.base_latency_ms, gate.threshold) == (
+    assert (gate.restored_rate_per_ms, gate.observed_wait_ms, gate.base_latency_ms, gate.threshold) == (
         0.03,
         120.0,
         9.0,
@@ -361,11 +361,11 @@
     rig.list_of(listed("s0", 0, DRAINING), listed("s1", 1))
     assert rig.controller.learned("s0") is None
     rig.list_of(listed("s0", 0, started_ms=rig.now_ms), listed("s1", 1))
-    assert rig.controller.gates["s0"].restored_rate == 0.0
+    assert rig.controller.gates["s0"].restored_rate_per_ms == 0.0
 
 
-def out_of_a_queue(known: api.LearnedServer | None) -> int:
-    """How many of ten held calls go out in a tenth of a second once their server has lines again."""
+def sent_after_a_queue(known: api.LearnedServer | None) -> int:
+    """Return how many of ten held calls are sent within 100 ms once their server has free lines again."""
     rig = Rig(0)
     if known is not None:
         rig.feed(api.RestoredKnowledge(0.0, (known,)))
@@ -378,11 +378,11 @@
     return sum(isinstance(action, api.Send) for action in rig.all)
 
 
-def test_a_server_known_for_its_rate_is_not_paced_as_one_that_nothing_is_known_of() -> None:
-    assert out_of_a_queue(api.LearnedServer("s0", 200.0)) > out_of_a_queue(None) + 2
+def test_a_server_with_a_restored_rate_is_paced_faster_than_an_unknown_one() -> None:
+    assert sent_after_a_queue(api.LearnedServer("s0", 200.0)) > sent_after_a_queue(None) + 2
 
 
-def test_a_server_recalled_as_silent_is_tried_by_the_first_call() -> None:
+def test_a_server_restored_as_ejected_is_tried_with_the_first_call() -> None:
     rig = Rig(0)
     rig.feed(api.RestoredKnowledge(40.0, (api.LearnedServer("s0", ejected=True),)))
     rig.list_of(listed("s0", 0), listed("s1", 1))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules at their edges, and under arbitrary legal event orders."""
+"""The five rules in edge cases, and under arbitrary legal orders of events."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert answers(rig.last, 1) == 1
 
 
-def test_a_settled_outcome_ends_the_call() -> None:
+def test_a_finished_call_is_dropped() -> None:
     rig = Rig(servers=1)
     rig.call(1)
     rig.end_attempt(1, "s0", api.Result.TIMEOUT, call_finished=True)
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("result", [api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED])
-def test_the_release_is_awaited(result: api.Result) -> None:
+def test_the_next_attempt_waits_for_the_release(result: api.Result) -> None:
     rig = Rig(servers=2)
     rig.call(1, call_class="dear", expires_in_ms=4000)
     rig.end_attempt(1, "s0", result)
@@ -55,7 +55,7 @@
     assert [send.call for send in rig.of(api.Send)] == [1]
 
 
-def test_the_caller_gone_while_held_out_or_awaiting_release() -> None:
+def test_a_call_abandoned_while_held_sent_or_awaiting_release_is_dropped() -> None:
     rig = Rig(servers=0)
     rig.call(1)
     rig.feed(api.CallAbandoned(1))
@@ -73,7 +73,7 @@
     assert rig.controller.calls == {}
 
 
-def test_nothing_new_to_a_draining_or_gone_server_and_held_calls_move() -> None:
+def test_a_draining_or_removed_server_gets_no_new_calls() -> None:
     rig = Rig(servers=2)
     rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), complete=False)
     rig.call(1)
@@ -81,14 +81,14 @@
     rig.list_of(listed("s0", 0))
     rig.call(2)
     assert [send.server for send in rig.of(api.Send)] == ["s0"]
-    assert rig.controller.gates["s1"].status is api.ServerStatus.REMOVED  # not in the whole list
+    assert rig.controller.gates["s1"].status is api.ServerStatus.REMOVED  # not in the complete list
     rig.list_of()
     rig.call(3)
     assert not rig.of(api.Send)
 
 
-def test_a_replacement_takes_the_calls_held_for_its_place() -> None:
-    """In this gateway's turn: it is cold, and may be sent about 46 set-ups in 3 s by all four together."""
+def test_a_replacement_gets_the_calls_held_for_its_pool() -> None:
+    """It is cold: the four gateways together may send about 46 set-ups in 3 s, each in its turn."""
     rig = Rig(servers=1)
     rig.feed(api.ServerReport("s0", api.Result.OK, api.LoadReport(10.0, 10.0, None, 50.0), False))
     rig.list_of(listed("s0", 0, api.ServerStatus.DRAINING), complete=False)
@@ -99,24 +99,24 @@
     assert [send.server for send in rig.of(api.Send)] == ["n0"]
 
 
-def test_a_burst_onto_a_server_just_started_stays_within_the_share_of_one_gateway() -> None:
+def test_a_burst_to_a_server_just_started_stays_within_one_gateways_share() -> None:
     rig = Rig(servers=0)
     rig.list_of(listed("s0", 0, started_ms=rig.now_ms))
     for number in range(50):
         rig.call(number)
     rig.tick(2000)
     sends = [a for a in rig.all if isinstance(a, api.Send)]
-    assert len(sends) <= 3  # it knows no server's rate, only what it is asked for
+    assert len(sends) <= 3  # the gateway knows no server's rate, only its own new calls
 
 
-def test_a_server_back_under_its_id_is_cold_again() -> None:
+def test_a_server_that_returns_under_its_id_is_cold_again() -> None:
     rig = Rig(servers=1)
     rig.list_of(listed("s0", 0, api.ServerStatus.REMOVED), complete=False)
     rig.list_of(listed("s0", 0), complete=False)
     assert rig.controller.gates["s0"].started_ms == rig.now_ms
 
 
-def test_an_older_list_and_unknown_ids_are_taken_in_silence() -> None:
+def test_an_older_list_and_unknown_ids_are_ignored() -> None:
     rig = Rig(servers=1)
     rig.feed(api.ServerList(0, True, ()))
     assert rig.controller.gates["s0"].status is api.ServerStatus.ACTIVE
@@ -126,7 +126,7 @@
     assert rig.feed(api.TimerFired("what")) == []
 
 
-def test_the_hosts_mistakes_raise() -> None:
+def test_invalid_input_from_the_host_raises() -> None:
     rig = Rig(servers=1)
     with pytest.raises(ValueError, match="backwards"):
         rig.feed(api.TimerFired("tick"), 1.0)
@@ -138,7 +138,7 @@
     ("key", "value"),
     [("gateway_count", 0), ("cold_from", 0.0), ("fall_ms", -1.0), ("release_ms", math.nan), ("classes", ())],
 )
-def test_a_senseless_setting_is_named(key: str, value: object) -> None:
+def test_an_invalid_setting_is_named(key: str, value: object) -> None:
     with pytest.raises(ValueError, match=key):
         control.Controller(made_settings(**{key: value}), 1)
 
@@ -156,7 +156,7 @@
 
 
 STEPS = st.lists(
-    st.tuples(st.sampled_from(["call", "end", "end", "tick", "list", "gone"]), st.integers(0, 10**6)),
+    st.tuples(st.sampled_from(["call", "end", "end", "tick", "list", "abandon"]), st.integers(0, 10**6)),
     max_size=120,
 )
 
@@ -170,21 +170,21 @@
     world = World(rig)
     for step, pick in steps:
         getattr(world, step)(pick)
-    while world.owed and rig.now_ms < 10**6:
+    while world.unanswered and rig.now_ms < 10**6:
         world.tick(0)
-    assert not world.owed
+    assert not world.unanswered
 
 
 class World:
-    """Plays the outside, in any legal order, and checks the rules on every action."""
+    """Simulates callers and servers in any legal order of events, and checks the rules on every action."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
-        self.owed: dict[int, float] = {}
-        self.out: dict[int, tuple[int, str, float]] = {}
-        self.free_at: dict[int, float] = {}
-        self.tries: dict[int, int] = {}
-        self.standing = dict.fromkeys(("s0", "s1", "s2"), api.ServerStatus.ACTIVE)
+        self.unanswered: dict[int, float] = {}
+        self.sent: dict[int, tuple[int, str, float]] = {}
+        self.release_done_ms: dict[int, float] = {}
+        self.attempts: dict[int, int] = {}
+        self.status = dict.fromkeys(("s0", "s1", "s2"), api.ServerStatus.ACTIVE)
         self.cold: dict[str, float] = {}
         self.cold_sends: dict[str, list[float]] = {}
         self.number = 0
@@ -194,74 +194,78 @@
         for action in actions:
             if isinstance(action, api.Send):
                 call, server = action.call, action.server
-                assert call in self.owed  # rule 1: nothing after the answer
-                assert call not in self.out  # rule 2
-                assert self.standing[server] is api.ServerStatus.ACTIVE  # rule 3
-                assert now_ms >= self.free_at.get(call, 0.0)  # rule 5
+                assert call in self.unanswered  # rule 1: nothing after the answer
+                assert call not in self.sent  # rule 2
+                assert self.status[server] is api.ServerStatus.ACTIVE  # rule 3
+                assert now_ms >= self.release_done_ms.get(call, 0.0)  # rule 5
                 if now_ms - self.cold.get(server, -1e9) < 12000:
                     window = [at for at in self.cold_sends[server] if at > now_ms - 3000] + [now_ms]
                     self.cold_sends[server] = window
-                    assert len(window) <= 30  # rule 4: no rate in this world can have earned more
-                self.tries[call] = self.tries.get(call, -1) + 1
-                assert self.tries[call] < 6
-                self.out[call] = (self.tries[call], server, now_ms + max(0.0, action.timeout_ms))
+                    assert len(window) <= 30  # rule 4: no rate in this simulation allows more
+                self.attempts[call] = self.attempts.get(call, -1) + 1
+                assert self.attempts[call] < 6
+                self.sent[call] = (self.attempts[call], server, now_ms + max(0.0, action.timeout_ms))
             elif isinstance(action, api.Refuse | api.Fail):
-                assert action.call in self.owed  # once, and only what is owed
-                assert action.call not in self.out
-                assert now_ms <= self.owed.pop(action.call) + 20
+                assert action.call in self.unanswered  # once, and only for a call that is not answered yet
+                assert action.call not in self.sent
+                assert now_ms <= self.unanswered.pop(action.call) + 20
 
     def call(self, pick: int) -> None:
         self.number += 1
-        self.owed[self.number] = self.rig.now_ms + 200 + pick % 4000
+        self.unanswered[self.number] = self.rig.now_ms + 200 + pick % 4000
         kind = "dear" if pick % 5 == 0 else "usual"
         self.check(self.rig.call(self.number, kind, pick % 4, 200 + pick % 4000, number=f"n{pick % 7}"))
 
     def finish(
-        self, call: int, result: api.Result, why: api.RefusalReason = api.RefusalReason.UNSPECIFIED
+        self, call: int, result: api.Result, reason: api.RefusalReason = api.RefusalReason.UNSPECIFIED
     ) -> None:
-        attempt, server, _ = self.out.pop(call)
+        attempt, server, _ = self.sent.pop(call)
         if result in (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED):
-            self.free_at[call] = self.rig.now_ms + 300
-        self.check(self.rig.feed(api.AttemptEnded(call, attempt, server, result, call not in self.owed, why)))
+            self.release_done_ms[call] = self.rig.now_ms + 300
+        self.check(
+            self.rig.feed(
+                api.AttemptEnded(call, attempt, server, result, call not in self.unanswered, reason)
+            )
+        )
 
     def end(self, pick: int) -> None:
-        if not self.out:
+        if not self.sent:
             return
-        call = sorted(self.out)[pick % len(self.out)]
+        call = sorted(self.sent)[pick % len(self.sent)]
         result = list(api.Result)[pick // 7 % 8]
-        if result is api.Result.OK and call in self.owed:
-            attempt, server, _ = self.out.pop(call)
-            del self.owed[call]
+        if result is api.Result.OK and call in self.unanswered:
+            attempt, server, _ = self.sent.pop(call)
+            del self.unanswered[call]
             self.check(self.rig.feed(api.AttemptSucceeded(call, attempt, server, float(pick % 900))))
             return
         self.finish(call, result, list(api.RefusalReason)[pick // 3 % 4])
 
     def tick(self, pick: int) -> None:
         self.rig.now_ms += 5 + pick % 20
-        for call in [c for c, (_, _, due_ms) in self.out.items() if due_ms <= self.rig.now_ms]:
+        for call in [c for c, (_, _, due_ms) in self.sent.items() if due_ms <= self.rig.now_ms]:
             self.finish(call, api.Result.TIMEOUT)
         self.check(self.rig.tick(0))
 
     def list(self, pick: int) -> None:
         server = f"s{pick % 3}"
-        standing = list(api.ServerStatus)[pick // 3 % 3]
+        status = list(api.ServerStatus)[pick // 3 % 3]
         started_ms = None
-        if standing is api.ServerStatus.ACTIVE and self.standing[server] is not api.ServerStatus.ACTIVE:
+        if status is api.ServerStatus.ACTIVE and self.status[server] is not api.ServerStatus.ACTIVE:
             started_ms = self.cold[server] = self.rig.now_ms
             self.cold_sends[server] = []
         elif server in self.cold:
             started_ms = self.cold[server]
-        self.standing[server] = standing
-        self.check(self.rig.list_of(listed(server, pick % 3, standing, started_ms), complete=False))
+        self.status[server] = status
+        self.check(self.rig.list_of(listed(server, pick % 3, status, started_ms), complete=False))
 
-    def gone(self, pick: int) -> None:
-        if self.owed:
-            call = sorted(self.owed)[pick % len(self.owed)]
-            del self.owed[call]
+    def abandon(self, pick: int) -> None:
+        if self.unanswered:
+            call = sorted(self.unanswered)[pick % len(self.unanswered)]
+            del self.unanswered[call]
             self.check(self.rig.feed(api.CallAbandoned(call)))
 
 
-def test_a_flood_of_held_calls_is_still_answered_in_time() -> None:
+def test_many_held_calls_are_all_answered_in_time() -> None:
     rig = Rig(servers=0)
     for number in range(200):
         rig.call(number, expires_in_ms=900)
