--- a/tests/test_detector.py
+++ b/tests/test_detector.py
@@ -119,9 +119,8 @@
     g = rig.controller.gates["s0"]
     g.base_latency_ms = 40.0
     rig.controller.wait_limit_ms = 300.0
-    rig.succeed(
-        1, wait_ms=640
-    )  # 0.6 of 600 ms: 360 is over the limit of 300, but under the 480 for calls of class dear
+    # 0.6 of 600 ms: 360 is over the limit of 300, but under the 480 for calls of class dear
+    rig.succeed(1, wait_ms=640)
     assert [send.call for send in rig.of(api.Send)] == [3]
     assert g.overloaded
 
