--- a/capershelf/control.py
+++ b/capershelf/control.py
@@ -40,7 +40,7 @@
     ConnectionReplaced,
     RefusalReason,
 )
-from capershelf.estimation import RATE_MS, ColdTokens, FleetEstimates, Quotas, Rate, Timing
+from capershelf.estimation import RATE_FADE_MS, ColdTokens, FleetEstimates, Quotas, Rate, Timing
 
 # The detector, as the paper and the design page have it.
 RATIO = 1.2  # sent over answered above this, judged each interval, sets the overload flag
@@ -290,7 +290,7 @@
         self.pace_ms, self.trial_ms = self.scale * PACE_MS, self.scale * TRIAL_MS
         for gate in self.gates.values():
             gate.overtaken_ms = OVERTAKEN * self.limit_ms
-        self.quotas.adopt({tenant.name: tenant.quota_per_s for tenant in settings.tenants})
+        self.quotas.configure({tenant.name: tenant.quota_per_s for tenant in settings.tenants})
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Take one event; the host carries the actions out in their order."""
@@ -352,8 +352,8 @@
         call = Call(event, kind, self.now_ms)
         self.calls[call.id] = self.held[call.id] = call
         self.rate_worth(call, event.tenant)
-        self.estimates.note_call(self.now_ms, kind.hold_ms, call.weight, call.worth)
-        if self.estimates.sheds(self.now_ms, call.worth, drawn(call, 0)):
+        self.estimates.record_call(self.now_ms, kind.hold_ms, call.weight, call.worth)
+        if self.estimates.should_shed(self.now_ms, call.worth, drawn(call, 0)):
             self.answer(call, Refuse(call.id))
 
     def out_at(self, gate: Gate | None, event: AttemptSucceeded | AttemptEnded) -> Call | None:
@@ -371,14 +371,14 @@
         gate.base_ms = min(gate.base_ms, event.wait_ms)
         if self.woke_ms < self.now_ms or event.wait_ms - gate.base_ms <= self.limit_ms:
             gate.news(self.now_ms, event.wait_ms - gate.base_ms, NEWS_WEIGHT)
-            self.estimates.note_wait(self.now_ms, gate.id, event.wait_ms - gate.base_ms)
+            self.estimates.record_wait(self.now_ms, gate.id, event.wait_ms - gate.base_ms)
         gate.heard_ms = self.now_ms
         gate.passed_ms = max(gate.passed_ms, call.sent_ms)
         gate.answered_at.append(self.now_ms)
         while gate.answered_at[0] <= self.now_ms - self.pace_ms:
             gate.answered_at.popleft()
         if self.best_rate > 0:
-            self.best_rate *= math.exp((self.answered.at_ms - self.now_ms) / BEST_MS)
+            self.best_rate *= math.exp((self.answered.updated_ms - self.now_ms) / BEST_MS)
         self.answered.add(self.now_ms)
         self.best_rate = max(self.best_rate, self.answered.value(self.now_ms))
         gate.out_load += call.weight
@@ -405,7 +405,7 @@
             # At least so long; not longer than it was given, whenever this gateway came to see it.
             gate.seen_wait_ms = max(gate.seen(self.now_ms), min(self.now_ms - call.sent_ms, call.timeout_ms))
             gate.seen_at_ms = self.now_ms
-            self.estimates.note_wait(self.now_ms, gate.id, self.now_ms - call.sent_ms)
+            self.estimates.record_wait(self.now_ms, gate.id, self.now_ms - call.sent_ms)
         if event.result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED):
             call.ready_ms = self.now_ms + self.settings.release_ms
             # It was out, not held: what is left of its aim after the release is worth a try.
@@ -508,7 +508,7 @@
             return
         if report.free_lines is not None:
             gate.free_lines, gate.lines = report.free_lines, report.lines or gate.lines
-        self.estimates.take_report(
+        self.estimates.record_report(
             self.now_ms, gate.id, report.free_lines, report.lines, report.allowed_per_s
         )
         gate.fade_ms = math.inf
@@ -530,7 +530,7 @@
             call.worth *= call.kind.late_worth
         if self.busy_until.get(call.number, -math.inf) > self.now_ms:
             call.worth *= BUSY_WORTH
-        if tenant is not None and self.quotas.beyond(self.now_ms, tenant):
+        if tenant is not None and self.quotas.is_exceeded(self.now_ms, tenant):
             call.worth *= self.settings.over_quota_worth
         hold_ms = HOLD_SHARE * call.kind.aim_ms
         if call.worth < POOR * self.least_worth or call.aim_at_ms <= self.now_ms:
@@ -622,13 +622,13 @@
 
     def new_call_rate(self) -> float:
         """What is asked for, by what was before this start until this life's own average stands."""
-        before = self.asked_before * math.exp((self.recalled_ms - self.now_ms) / RATE_MS)
+        before = self.asked_before * math.exp((self.recalled_ms - self.now_ms) / RATE_FADE_MS)
         return max(before, self.asked.value(self.now_ms))
 
     def part(self, gate: Gate) -> float:
         """The server's part of what all can do.  Guards against small servers crushed by calls led around to
         them as if all were of one size."""
-        return self.estimates.share(gate.id)
+        return self.estimates.capacity_share(gate.id)
 
     def watch(self, gate: Gate, clear: Gate | None) -> Gate | None:
         """Take a server for silent when set-ups go unanswered (hung, stopped, cut off); clear: any such."""
@@ -689,7 +689,7 @@
         """Where the server stands among the call's ways round, least first; drawn once, by size and room: no
         herd, no crowd at small servers.  Without sizes the draw is the sender's: its hash order.
         Before all warm ones comes a cold one that this sender has a token for: it can't be kept."""
-        lot = drawn(call, gate.rank) if self.estimates.most_lines > 0 else 1.0 - gate.rank / 2**32
+        lot = drawn(call, gate.rank) if self.estimates.max_active_lines > 0 else 1.0 - gate.rank / 2**32
         room = max(0.05, 1.0 - gate.seen(self.now_ms) / self.limit_ms)
         far = -math.log(lot) / max(1e-9, self.estimates.reroute_weight(self.now_ms, gate.id) * room)
         return self.warmth(gate) >= 1.0, far
@@ -760,7 +760,7 @@
         if (age := self.warmth(gate)) >= 1.0:
             return True
         part = self.settings.cold_from + (1.0 - self.settings.cold_from) * max(0.0, age) ** 2
-        if (carries := self.estimates.sure_per_s(gate.id)) is not None:
+        if (carries := self.estimates.min_capacity_per_s(gate.id)) is not None:
             able = carries / 1000.0
         else:
             # What it does for this sender, its part of the answers or of what is asked for if none came, for
@@ -795,7 +795,7 @@
         if gate.free_lines is not None:
             gate.free_lines = max(0.0, gate.free_lines - call.weight)  # until the next report
         gate.tried_ms = self.now_ms
-        begin_by_ms = gate.tokens.use() if self.warmth(gate) < 1.0 else math.inf
+        begin_by_ms = gate.tokens.consume() if self.warmth(gate) < 1.0 else math.inf
         # Calls that waited pass a cleared gate at a pace: twice that of its answers near the threshold, more
         # the less it waits.  Guards a server that has just recovered from the queues of all senders.
         load = gate.wait_ms(self.now_ms, self.woke_ms) / self.limit_ms
--- a/capershelf/estimation/__init__.py
+++ b/capershelf/estimation/__init__.py
@@ -1,8 +1,8 @@
-"""What a sender can know of booking servers from little: estimates with their errors (docs/estimation.md)."""
+"""One sender's estimates of booking servers: capacity, load, waits and quotas (docs/estimation.md)."""
 
 from capershelf.estimation.cold_budget import ColdTokens
 from capershelf.estimation.fleet_estimates import FleetEstimates, Timing
 from capershelf.estimation.quotas import Quotas
-from capershelf.estimation.rates import RATE_MS, Rate
+from capershelf.estimation.rates import RATE_FADE_MS, Rate
 
-__all__ = ["RATE_MS", "Quotas", "Rate", "FleetEstimates", "Timing", "ColdTokens"]
+__all__ = ["RATE_FADE_MS", "Quotas", "Rate", "FleetEstimates", "Timing", "ColdTokens"]
--- a/capershelf/estimation/cold_budget.py
+++ b/capershelf/estimation/cold_budget.py
@@ -1,10 +1,10 @@
-"""A sender's tokens for one booking server that has just started: its share of the whole fleet's budget.
+"""Tokens of one sender for a booking server that has just started: its part of the fleet's set-up budget.
 
-Senders share nothing, so the tokens of a bucket that all of them draw from are issued round-robin, by slot.
-A counter runs at the pace at which the fleet may send, from when this sender heard of the server; each time
-it passes this sender's slot, and then each `count` further, this sender gets a token.  A token is one set-up,
-and it expires after some windows, used or not: nothing is saved up.  docs/cold.md
-argues the sum.  Pure: times (ms) come in.
+Senders do not communicate, so the tokens of a shared bucket are issued round-robin, by slot.  A counter
+advances at the rate at which the fleet may send, starting when this sender first saw the server.  This sender
+gets a token when the counter passes its slot, then one for each further `sender_count`.  A token allows one
+set-up and expires after a number of windows, used or not, so that tokens do not accumulate.  docs/cold.md
+derives the bound.  Pure: callers pass the time in milliseconds.
 """
 
 from __future__ import annotations
@@ -12,72 +12,87 @@
 import math
 from collections import deque
 
-FLEET_SHARE = 0.9  # of what the rules let the fleet send in any window, and the root of that on top
-LEAST_WINDOWS = 0.25  # windows for which a token is valid at the least
+FLEET_SHARE = 0.9  # of the set-ups that the rules allow the fleet in a window; their square root comes on top
+MIN_VALID_WINDOWS = 0.25  # shortest validity of a token, in windows
 
 
-def token_windows(multiple: float) -> float:
-    """Windows for which a token is valid.
+def token_valid_windows(multiple: float) -> float:
+    """Validity of a token, in windows.
 
-    What is sent in a window used tokens that were issued in it or so long before it.  More than a server can
-    do is of no use to it: about that is issued, a multiple-th of what the rules allow, and the rest of it
-    goes into the time for which a token waits for a call.
+    The set-ups sent in a window used tokens issued in that window or within this time before it.  The rules
+    allow `multiple` times the server's capacity, but set-ups beyond its capacity are of no use to it.  So
+    about the capacity is issued, and the rest of the budget goes into the time that a token may wait for a
+    call.
     """
-    return max(LEAST_WINDOWS, multiple - 1.0)
+    return max(MIN_VALID_WINDOWS, multiple - 1.0)
 
 
 def fleet_limit(budget: float) -> float:
-    """What the fleet sends in any window at the most, and one.  The rules leave chance two roots and two."""
+    """Upper bound, within one set-up, of what the fleet sends in any window.
+
+    The rules allow for chance by adding two square roots of the budget, and two set-ups.
+    """
     return FLEET_SHARE * budget + math.sqrt(budget)
 
 
-def issued(budget: float, multiple: float) -> float:
-    """Tokens that are issued in a window in which the rules allow the budget."""
-    return fleet_limit(budget) / (1.0 + token_windows(multiple))
+def tokens_per_window(budget: float, multiple: float) -> float:
+    """Tokens issued per window in which the rules allow the fleet `budget` set-ups."""
+    return fleet_limit(budget) / (1.0 + token_valid_windows(multiple))
 
 
 class ColdTokens:
-    """One sender's tokens, one of `count` senders; begins empty.
+    """Tokens of one of `sender_count` senders; there are none at the start.
 
-    share: the part of these that may send to the server at all, spread evenly over the slots; the counter
-    passes the slots of the others, which use no tokens, so much faster.  0: this sender may not send to it.
+    sender_share: the part of the senders that may send to the server, spread evenly over the slots.  The
+    counter advances faster by its reciprocal, since the slots of the other senders use no tokens.  0: this
+    sender may not send to the server.
     """
 
-    __slots__ = ("_count", "_next", "_passed", "_at_ms", "_valid_until", "_multiple", "_share")
-
-    def __init__(self, slot: int, count: int, now_ms: float, multiple: float, share: float = 1.0) -> None:
-        self._count, self._share = count, share
+    __slots__ = (
+        "_sender_count",
+        "_next",
+        "_counter",
+        "_updated_ms",
+        "_expiry_ms",
+        "_multiple",
+        "_sender_share",
+    )
+
+    def __init__(
+        self, slot: int, sender_count: int, now_ms: float, multiple: float, sender_share: float = 1.0
+    ) -> None:
+        self._sender_count, self._sender_share = sender_count, sender_share
         self._multiple = multiple
-        self._next = float(slot % count + 1)  # where the counter issues the next token
-        self._passed, self._at_ms = 0.0, now_ms
-        self._valid_until: deque[float] = deque()  # when each token expires
+        self._next = float(slot % sender_count + 1)  # counter value at which the next token is issued
+        self._counter, self._updated_ms = 0.0, now_ms
+        self._expiry_ms: deque[float] = deque()  # of each valid token, earliest first
 
     def __len__(self) -> int:
-        return len(self._valid_until)
+        return len(self._expiry_ms)
 
     def available(self, now_ms: float, per_ms: float, window_ms: float) -> bool:
-        """Whether there is a valid token now.
+        """Issue and expire tokens up to now_ms; True if there is a valid one.
 
-        per_ms: set-ups that the rules allow the fleet, over the time since this was asked last.
+        per_ms: set-ups per millisecond that the rules allow the fleet, since the previous call.
         """
-        if self._share <= 0.0:
+        if self._sender_share <= 0.0:
             return False
-        per_ms = issued(per_ms * window_ms, self._multiple) / window_ms / self._share
-        valid_ms = token_windows(self._multiple) * window_ms
-        if now_ms > self._at_ms and per_ms > 0.0:
-            self._passed += per_ms * (now_ms - self._at_ms)
-            behind = self._passed - per_ms * valid_ms - self._next
-            if behind > 0.0:  # tokens that have expired by now
-                self._next += self._count * math.ceil(behind / self._count)
-            while self._next < self._passed:
-                issued_ms = now_ms - (self._passed - self._next) / per_ms
-                self._valid_until.append(max(issued_ms, self._at_ms) + valid_ms)
-                self._next += self._count
-        self._at_ms = max(self._at_ms, now_ms)
-        while self._valid_until and self._valid_until[0] <= now_ms:
-            self._valid_until.popleft()
-        return bool(self._valid_until)
-
-    def use(self) -> float:
-        """Use the token that expires first; until when its set-up must have begun."""
-        return self._valid_until.popleft()
+        per_ms = tokens_per_window(per_ms * window_ms, self._multiple) / window_ms / self._sender_share
+        valid_ms = token_valid_windows(self._multiple) * window_ms
+        if now_ms > self._updated_ms and per_ms > 0.0:
+            self._counter += per_ms * (now_ms - self._updated_ms)
+            overdue = self._counter - per_ms * valid_ms - self._next
+            if overdue > 0.0:  # skip tokens that would have expired already
+                self._next += self._sender_count * math.ceil(overdue / self._sender_count)
+            while self._next < self._counter:
+                issued_ms = now_ms - (self._counter - self._next) / per_ms
+                self._expiry_ms.append(max(issued_ms, self._updated_ms) + valid_ms)
+                self._next += self._sender_count
+        self._updated_ms = max(self._updated_ms, now_ms)
+        while self._expiry_ms and self._expiry_ms[0] <= now_ms:
+            self._expiry_ms.popleft()
+        return bool(self._expiry_ms)
+
+    def consume(self) -> float:
+        """Use the token that expires first; returns the time by which its set-up must be written."""
+        return self._expiry_ms.popleft()
--- a/capershelf/estimation/rates.py
+++ b/capershelf/estimation/rates.py
@@ -1,31 +1,34 @@
-"""How often something happens, as an average that fades.  Pure: times in milliseconds come in."""
+"""Exponentially decaying event rates.  Pure: callers pass the time in milliseconds."""
 
 from __future__ import annotations
 
 import math
 
-LEAST_SPAN_MS = 3000.0  # a rate is never read over less
-RATE_MS = 10000.0  # rates are averages that fade in so long
+MIN_SPAN_MS = 3000.0  # lower bound of the averaging span, so that the first few events do not inflate a rate
+RATE_FADE_MS = 10000.0  # time constant of the exponential average
 
 
 class Rate:
-    """Events for each ms, as an average that fades in RATE_MS."""
+    """Events per millisecond, averaged exponentially with the time constant RATE_FADE_MS."""
 
     def __init__(self) -> None:
         self.count = 0.0
-        self.at_ms = self.began_ms = math.nan
+        self.updated_ms = self.started_ms = math.nan
 
     def add(self, now_ms: float) -> None:
-        if math.isnan(self.at_ms):
-            self.at_ms = self.began_ms = now_ms
-        self.count = 1.0 + self.faded(now_ms)
-        self.at_ms = now_ms
+        """Count one event."""
+        if math.isnan(self.updated_ms):
+            self.updated_ms = self.started_ms = now_ms
+        self.count = 1.0 + self.decayed_count(now_ms)
+        self.updated_ms = now_ms
 
-    def faded(self, now_ms: float) -> float:
-        return self.count * math.exp((self.at_ms - now_ms) / RATE_MS)
+    def decayed_count(self, now_ms: float) -> float:
+        """The weighted event count, decayed to now_ms."""
+        return self.count * math.exp((self.updated_ms - now_ms) / RATE_FADE_MS)
 
     def value(self, now_ms: float) -> float:
-        if math.isnan(self.at_ms):
+        """Events per millisecond; 0 before the first event."""
+        if math.isnan(self.updated_ms):
             return 0.0
-        span_ms = RATE_MS * (1.0 - math.exp((self.began_ms - now_ms) / RATE_MS))
-        return self.faded(now_ms) / max(LEAST_SPAN_MS, span_ms)
+        span_ms = RATE_FADE_MS * (1.0 - math.exp((self.started_ms - now_ms) / RATE_FADE_MS))
+        return self.decayed_count(now_ms) / max(MIN_SPAN_MS, span_ms)
--- a/capershelf/memory/keeper.py
+++ b/capershelf/memory/keeper.py
@@ -21,7 +21,7 @@
 from capershelf.memory.records import Book, ServerRecord
 from capershelf.memory.schedule import large_change
 from capershelf.memory.trust import Verdict, judge_list
-from capershelf.estimation import RATE_MS
+from capershelf.estimation import RATE_FADE_MS
 
 SWEEP_MS = 100.0  # between two looks at what was learned,
 A_SWEEP = 16  # of no more servers than this: some 0.1 ms
@@ -103,7 +103,7 @@
             )
         # The module goes by the newest figure it is told and lets it fade: a server that is listed a little
         # later must neither wipe out what callers ask here nor make it new.
-        asked = self._asked_before * math.exp((self._began_ms - now_ms) / RATE_MS)
+        asked = self._asked_before * math.exp((self._began_ms - now_ms) / RATE_FADE_MS)
         return RestoredKnowledge(asked, tuple(known)) if known or asked else None
 
     def _carried(
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -15,8 +15,8 @@
 from capershelf.core import model as m
 from capershelf.core.clock import ManualClock
 from capershelf.core.planner import Planner
-from capershelf.estimation.cold_budget import ColdTokens, issued, token_windows, fleet_limit
-from capershelf.estimation.fleet_estimates import LINES_ERROR
+from capershelf.estimation.cold_budget import ColdTokens, fleet_limit, token_valid_windows, tokens_per_window
+from capershelf.estimation.fleet_estimates import LINE_ESTIMATE_ERROR
 from tests.rig import listed, settings
 from tests.test_planner_states import FakeCaller, FakeServers
 
@@ -56,11 +56,15 @@
         for one in turns:
             wants = not idle[int(now_ms // 1000.0) % 4]
             while one.available(now_ms, budget / WINDOW_MS, WINDOW_MS) and wants:  # looked at all the time
-                assert one.use() > now_ms, "a turn that is over"
+                assert one.consume() > now_ms, "a turn that is over"
                 sent.append(now_ms)
     # A step that the test takes lies within a turn's time or after it: it adds what opens in one step.
-    bound = fleet_limit(budget) + issued(budget, multiple) * step_ms / WINDOW_MS + 1.0
-    assert most_in_a_window(sent) <= bound <= allowed(budget) + issued(budget, multiple) * step_ms / WINDOW_MS
+    bound = fleet_limit(budget) + tokens_per_window(budget, multiple) * step_ms / WINDOW_MS + 1.0
+    assert (
+        most_in_a_window(sent)
+        <= bound
+        <= allowed(budget) + tokens_per_window(budget, multiple) * step_ms / WINDOW_MS
+    )
 
 
 def test_a_fleet_that_wanted_nothing_for_long_has_saved_nothing_up() -> None:
@@ -68,7 +72,7 @@
     for step in range(1, 4000):  # looked at all the time, and not used
         for one in turns:
             one.available(step * 5.0, budget / WINDOW_MS, WINDOW_MS)
-    assert sum(map(len, turns)) <= issued(budget, 3.0) * token_windows(3.0) + 1.0
+    assert sum(map(len, turns)) <= tokens_per_window(budget, 3.0) * token_valid_windows(3.0) + 1.0
 
 
 def test_a_sender_that_restarts_begins_with_no_turn() -> None:
@@ -81,10 +85,10 @@
             turns = [ColdTokens(slot, FLEET, now_ms, 3.0) for slot in range(FLEET)]
         for one in turns:
             if one.available(now_ms, budget / WINDOW_MS, WINDOW_MS):
-                one.use()
+                one.consume()
                 sent.append(now_ms)
     assert most_in_a_window(sent) <= fleet_limit(budget) + 2.0
-    assert len(sent) > 0.5 * issued(budget, 3.0) * 4, "and they do send"
+    assert len(sent) > 0.5 * tokens_per_window(budget, 3.0) * 4, "and they do send"
 
 
 def test_turns_are_the_slots_of_group_size_one_after_another() -> None:
@@ -93,7 +97,7 @@
     for step in range(1, 1000):
         for slot, one in enumerate(turns):
             if one.available(step * 5.0, budget / WINDOW_MS, WINDOW_MS):
-                one.use()
+                one.consume()
                 order.append(slot)
     assert order[:10] == [0, 1, 2, 3, 4] * 2
 
@@ -292,9 +296,9 @@
         clock.advance(25.0)
     assert min(written) >= 1_000_000.0 + 320 * 25.0
     # As each knows it: by what the other server told for its lines, and the least that it may have warmed up.
-    budget = 3.0 * (0.3 + 0.7 * (8000.0 / 14000.0) ** 2) * per_s / (1.0 + LINES_ERROR)
+    budget = 3.0 * (0.3 + 0.7 * (8000.0 / 14000.0) ** 2) * per_s / (1.0 + LINE_ESTIMATE_ERROR)
     at_once = sum(1 for at_ms in written if at_ms == min(written))
-    bound = issued(budget, 3.0) * token_windows(3.0) + 1.0
+    bound = tokens_per_window(budget, 3.0) * token_valid_windows(3.0) + 1.0
     assert 0 < at_once <= bound, "turns that were over before the connection was there"
     budget = 3.0 * (0.3 + 0.7 * 10000.0 / 14000.0) * per_s
     assert most_in_a_window(written) <= fleet_limit(budget) + 1.0
--- a/tests/test_memory_decisions.py
+++ b/tests/test_memory_decisions.py
@@ -20,7 +20,7 @@
 from capershelf.memory.records import Book, ServerRecord
 from capershelf.memory.schedule import MOST_BACK_OFF_MS, Schedule, large_change, merge
 from capershelf.memory.trust import Verdict, judge_list
-from capershelf.estimation import RATE_MS
+from capershelf.estimation import RATE_FADE_MS
 from capershelf.estimation.cold_budget import fleet_limit
 from tests.memory_rig import NOW_MS, book, located, news, record
 from tests.rig import Rig, listed
@@ -169,7 +169,7 @@
     assert first.new_calls_per_s == 60.0
     assert [one.server for one in first.servers] == ["s0"]
     assert first.servers[0].rate_per_s == pytest.approx(60.0)
-    later = kept.keeper.recall(news(located("s1"), whole=False), NOW_MS + 60 + RATE_MS)
+    later = kept.keeper.recall(news(located("s1"), whole=False), NOW_MS + 60 + RATE_FADE_MS)
     assert later is not None
     # As far as the module itself has let it fade: it goes by the newest that it is told.
     assert later.new_calls_per_s == pytest.approx(60.0 / math.e)
