--- a/capershelf/subset/__init__.py
+++ b/capershelf/subset/__init__.py
@@ -1,9 +1,9 @@
-"""Deterministic subsetting: each proxy links to a bounded, even, stable part of each service's servers.
+"""Deterministic subsetting: each proxy connects to a bounded, even and stable part of each service's servers.
 
-Pure: nothing here reads a clock or touches a socket.  docs/subset.md has the design.
+Pure: no clock is read and no socket used.  docs/subset.md describes the design.
 """
 
-from capershelf.subset.membership import Membership, Update
+from capershelf.subset.membership import Membership, MembershipUpdate
 from capershelf.subset.selection import Candidate, SubsetSizeError, check_size
 
-__all__ = ["Candidate", "Membership", "SubsetSizeError", "Update", "check_size"]
+__all__ = ["Candidate", "Membership", "MembershipUpdate", "SubsetSizeError", "check_size"]
--- a/capershelf/subset/membership.py
+++ b/capershelf/subset/membership.py
@@ -1,9 +1,9 @@
-"""The members that a proxy has now: its subsets, with substitutes for members that can't be used.
+"""Tracks the members of a proxy's subsets, and substitutes for members that are unavailable.
 
-A state machine without I/O.  The host tells it the list, and from time to time which members are unavailable
-and at which of the servers that left no call is out or stands; it answers with the changes of the list as the
-host is to take them.  A server that leaves the subset is first told to drain, so that its calls end as they
-would have, and is gone once it holds none.
+A state machine without I/O.  The host passes in the server list, and periodically which members are
+unavailable and which draining servers hold no call; each call returns the list changes for the host to apply.
+A server that leaves the subset is first marked as draining, so that its calls end normally, and removed once
+it holds none.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 from capershelf.core.model import LocatedServer
 from capershelf.interface import ServerStatus
-from capershelf.subset.selection import Candidate, check_size, fixed_order, share
+from capershelf.subset.selection import Candidate, check_size, fixed_order, proxy_share
 
-RETURN_MS = 5000.0  # a member is back for so long before its substitute is let go
-SUBSTITUTES_PER_S = 2.0  # substitutes that may join a second, times the size; so many may join at once
+RECOVERY_HOLD_MS = 5000.0  # time that a recovered member stays available before its substitute is released
+SUBSTITUTES_PER_S = 2.0  # substitutes that may join, per member; the burst is one second's
 
 
 @dataclass(frozen=True, slots=True)
-class Update:
-    """Changes of the list for the host; `urgent` are to be connected to at once, others when convenient."""
+class MembershipUpdate:
+    """List changes for the host, which connects to `urgent` servers at once and to others when convenient."""
 
     servers: tuple[LocatedServer, ...] = ()
     urgent: tuple[str, ...] = ()
@@ -31,190 +31,205 @@
 
 @dataclass(slots=True)
 class Entry:
-    """A listed server."""
+    """State of a listed server."""
 
     located: LocatedServer
-    member: bool = False  # the host has it as the list does
-    leaving: bool = False  # the host has it as one that drains, since it is not wanted here any more
+    member: bool = False  # the host has it with the status of the list
+    leaving: bool = False  # the host has it as draining, since it left the subset
     unavailable: bool = False
-    recovered_ms: float = -math.inf  # when it was last found available after it was not
+    recovered_ms: float = -math.inf  # when it last became available again
 
     @property
     def active(self) -> bool:
         return self.located.listed.status is ServerStatus.ACTIVE
 
     @property
-    def may_leave(self) -> bool:
-        """Not where it drains, which the list ends, nor out of reach: releases may have to be said there."""
+    def may_drain(self) -> bool:
+        """Whether it may leave the subset by draining.
+
+        Not if the list has it as draining, since the list then removes it.  Not while it is unavailable,
+        since calls may have to be released there once it is back.
+        """
         return self.active and not self.unavailable
 
     def usable(self, now_ms: float) -> bool:
-        """Whether calls can count on it."""
-        return not self.unavailable and now_ms - self.recovered_ms >= RETURN_MS
+        """Whether it counts towards the subset's size: available, and not only just recovered."""
+        return not self.unavailable and now_ms - self.recovered_ms >= RECOVERY_HOLD_MS
 
 
 @dataclass(slots=True)
 class Service:
-    """One service's listed servers, in the order that they have for this slot while they are active."""
+    """The listed servers of one service, and the order of the active ones for this slot."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
     order: list[str] = field(default_factory=list)
-    base: frozenset[str] = frozenset()  # the subset proper, without substitutes
-    sender_share: float = 1.0  # the part of all proxies that have a given server in their subset
-    grown: bool = False  # by servers that the host has not heard of yet
+    subset: frozenset[str] = frozenset()  # the regular members, without substitutes
+    sender_share: float = 1.0  # part of all proxies that have a given server in their subset
+    has_new_servers: bool = False  # servers were listed that the host does not have yet
 
 
 class Membership:
     """The subsets of all services for one slot of the fleet.
 
-    ramp_ms: a server that has started so lately is cold.  places: those that calls go to from here; servers
-    elsewhere are never members.  None: all.  SubsetSizeError for a size that is too small.
+    ramp_ms: time from the start of a server until it is warm.  pools: the pools that this proxy's calls may
+    use; servers of other pools never become members.  None: all.  Raises SubsetSizeError for a size that is
+    too small.
     """
 
-    def __init__(self, slot: int, size: int, ramp_ms: float, places: frozenset[int] | None = None) -> None:
+    def __init__(self, slot: int, size: int, ramp_ms: float, pools: frozenset[int] | None = None) -> None:
         check_size(size)
-        self._slot, self._size, self._ramp_ms, self._places = slot, size, ramp_ms, places
+        self._slot, self._size, self._ramp_ms, self._pools = slot, size, ramp_ms, pools
         self._services: dict[str, Service] = {}
         self._service_of: dict[str, str] = {}
-        self._allowance, self._allowance_ms = SUBSTITUTES_PER_S * size, -math.inf
+        self._substitute_tokens, self._refilled_ms = SUBSTITUTES_PER_S * size, -math.inf
 
     @property
     def members(self) -> frozenset[str]:
-        """The servers that the host has as the list does: the subsets and their substitutes."""
+        """The members of all subsets and their substitutes, without the servers that are leaving."""
         services = self._services.values()
-        return frozenset(name for one in services for name, entry in one.entries.items() if entry.member)
+        return frozenset(
+            name for service in services for name, entry in service.entries.items() if entry.member
+        )
 
     def update_list(
-        self, now_ms: float, servers: Iterable[LocatedServer], kept: frozenset[str] | None
-    ) -> Update:
-        """The list's changes.  kept: with a whole list, the names of entries that stay though it has them
-        not; None: these are changes alone."""
+        self, now_ms: float, servers: Iterable[LocatedServer], retained: frozenset[str] | None
+    ) -> MembershipUpdate:
+        """Apply a list update.
+
+        retained: for a complete list, the names of servers that stay although it does not contain them;
+        None if `servers` holds only changes.
+        """
         changed: list[LocatedServer] = []
-        named: set[str] = set()
+        listed: set[str] = set()
         for located in servers:
-            named.add(located.listed.server)
+            listed.add(located.listed.server)
             changed += self._take_entry(located)
-        if kept is not None:
-            for server in [one for one in self._service_of if one not in named | kept]:
+        if retained is not None:
+            for server in [name for name in self._service_of if name not in listed | retained]:
                 changed += self._remove(server)
         urgent: list[str] = []
         for service in self._services.values():
-            self._put_in_order(service)
-            joined = self._balance(now_ms, service, changed)
-            urgent += [] if service.grown else joined
-            service.grown = False
-        return Update(tuple(changed), tuple(urgent))
+            self._update_order(service)
+            joined = self._update_members(now_ms, service, changed)
+            urgent += [] if service.has_new_servers else joined
+            service.has_new_servers = False
+        return MembershipUpdate(tuple(changed), tuple(urgent))
 
     def review(
         self, now_ms: float, unavailable: Callable[[str], bool], idle: Callable[[str], bool]
-    ) -> Update:
-        """Look at members again: substitutes join and leave, and what has left is let go of once idle."""
+    ) -> MembershipUpdate:
+        """Let substitutes join and leave as availability changes; remove leaving servers that are idle."""
         changed: list[LocatedServer] = []
         urgent: list[str] = []
         for service in self._services.values():
             for server, entry in service.entries.items():
                 if entry.leaving and idle(server):
                     entry.leaving = False
-                    changed.append(_with_standing(entry.located, ServerStatus.REMOVED))
+                    changed.append(_with_status(entry.located, ServerStatus.REMOVED))
                 elif entry.member:
-                    _note(now_ms, entry, unavailable(server))
-            urgent += self._balance(now_ms, service, changed)
-        return Update(tuple(changed), tuple(urgent))
+                    _update_availability(now_ms, entry, unavailable(server))
+            urgent += self._update_members(now_ms, service, changed)
+        return MembershipUpdate(tuple(changed), tuple(urgent))
 
-    # -- the list -------------------------------------------------------------------------------------
+    # -- list updates ---------------------------------------------------------------------------------
     def _take_entry(self, located: LocatedServer) -> list[LocatedServer]:
-        """One entry of the list; what the host has to hear of it, other than that it joins."""
-        server, place = located.listed.server, located.listed.pool
+        """Apply one list entry; returns the changes for the host, other than its joining as a member."""
+        server, pool = located.listed.server, located.listed.pool
         if located.listed.status is ServerStatus.REMOVED:
             return self._remove(server)
         name = self._service_of.get(server)
         if name is None:
-            if located.endpoint and (self._places is None or place in self._places):
+            if located.endpoint and (self._pools is None or pool in self._pools):
                 self._service_of[server] = located.service
                 service = self._services.setdefault(located.service, Service())
                 service.entries[server] = Entry(located)
-                service.grown = True
+                service.has_new_servers = True
             return []
-        if located.endpoint and located.service != name:  # it has changed services: never in both
+        if located.endpoint and located.service != name:  # it moved to another service: never in both
             return self._remove(server) + self._take_entry(located)
         entry = self._services[name].entries[server]
-        entry.located = located if located.endpoint else _with_standing(entry.located, ServerStatus.DRAINING)
+        entry.located = located if located.endpoint else _with_status(entry.located, ServerStatus.DRAINING)
         if entry.member:
-            return [self._shared(self._services[name], entry)]
-        return [_with_standing(entry.located, ServerStatus.DRAINING)] if entry.leaving else []
+            return [self._with_sender_share(self._services[name], entry)]
+        return [_with_status(entry.located, ServerStatus.DRAINING)] if entry.leaving else []
 
     def _remove(self, server: str) -> list[LocatedServer]:
-        """The list has it no more."""
+        """Forget a server that is no longer listed; returns the change for the host, if any."""
         if (name := self._service_of.pop(server, None)) is None:
             return []
         entry = self._services[name].entries.pop(server)
-        return [_with_standing(entry.located, ServerStatus.REMOVED)] if entry.member or entry.leaving else []
+        return [_with_status(entry.located, ServerStatus.REMOVED)] if entry.member or entry.leaving else []
 
-    def _put_in_order(self, service: Service) -> None:
+    def _update_order(self, service: Service) -> None:
+        """Recompute the order and the regular members from the active servers."""
         active = [
             Candidate(server, entry.located.zone) for server, entry in service.entries.items() if entry.active
         ]
         service.order = fixed_order(self._slot, self._size, active)
-        service.base = frozenset(service.order[: self._size])
-        service.sender_share = share(self._size, len(active))
+        service.subset = frozenset(service.order[: self._size])
+        service.sender_share = proxy_share(self._size, len(active))
 
     # -- members --------------------------------------------------------------------------------------
-    def _balance(self, now_ms: float, service: Service, changed: list[LocatedServer]) -> list[str]:
-        """Have the wanted servers join and the others leave; who has joined."""
-        wanted = self._wanted(now_ms, service)
+    def _update_members(self, now_ms: float, service: Service, changed: list[LocatedServer]) -> list[str]:
+        """Let wanted servers join and others leave; appends to `changed` and returns those that joined."""
+        wanted = self._wanted_servers(now_ms, service)
         joined = []
         for server, entry in service.entries.items():
             if server in wanted and not entry.member:
                 entry.member, entry.leaving, entry.unavailable = True, False, False
-                changed.append(self._shared(service, entry))
+                changed.append(self._with_sender_share(service, entry))
                 joined.append(server)
-            elif entry.member and entry.may_leave and server not in wanted:
+            elif entry.member and entry.may_drain and server not in wanted:
                 entry.member, entry.leaving = False, True
-                changed.append(_with_standing(entry.located, ServerStatus.DRAINING))
+                changed.append(_with_status(entry.located, ServerStatus.DRAINING))
         return joined
 
-    def _wanted(self, now_ms: float, service: Service) -> set[str]:
-        """The subset, and in the fixed order so many more that `size` of them can be used."""
+    def _wanted_servers(self, now_ms: float, service: Service) -> set[str]:
+        """The regular members, and in the fixed order enough substitutes to have `size` usable servers."""
         wanted: set[str] = set()
         usable = 0
         for server in service.order:
             if usable >= self._size:
                 break
             entry = service.entries[server]
-            if server in service.base or entry.member or self._may_substitute(now_ms, entry):
+            if server in service.subset or entry.member or self._admit_substitute(now_ms, entry):
                 wanted.add(server)
                 usable += entry.usable(now_ms)
         return wanted
 
-    def _may_substitute(self, now_ms: float, entry: Entry) -> bool:
-        """At a bounded rate, and none that is cold: its budget is shared by the subsets that it is in."""
+    def _admit_substitute(self, now_ms: float, entry: Entry) -> bool:
+        """Whether a server may become a substitute now; uses a token of the rate limit if so.
+
+        Never a cold server: its set-up budget is divided among the proxies whose subset it is in.
+        """
         started_ms = entry.located.listed.started_ms
         if started_ms is not None and now_ms - started_ms < self._ramp_ms:
             return False
-        most = SUBSTITUTES_PER_S * self._size
-        passed_s = max(0.0, now_ms - self._allowance_ms) / 1000.0
-        self._allowance = min(most, self._allowance + passed_s * most)
-        self._allowance_ms = now_ms
-        if self._allowance < 1.0:
+        max_tokens = SUBSTITUTES_PER_S * self._size
+        elapsed_s = max(0.0, now_ms - self._refilled_ms) / 1000.0
+        self._substitute_tokens = min(max_tokens, self._substitute_tokens + elapsed_s * max_tokens)
+        self._refilled_ms = now_ms
+        if self._substitute_tokens < 1.0:
             return False
-        self._allowance -= 1.0
+        self._substitute_tokens -= 1.0
         return True
 
-    def _shared(self, service: Service, entry: Entry) -> LocatedServer:
-        """The entry with the share of all proxies that may send to it while cold; 0 for a substitute."""
+    def _with_sender_share(self, service: Service, entry: Entry) -> LocatedServer:
+        """The entry with the part of all proxies that may send to it while cold; 0 for a substitute."""
         server = entry.located.listed.server
-        in_base = server in service.base
+        in_subset = server in service.subset
         listed = dataclasses.replace(
-            entry.located.listed, sender_share=service.sender_share if in_base else 0.0
+            entry.located.listed, sender_share=service.sender_share if in_subset else 0.0
         )
         return dataclasses.replace(entry.located, listed=listed)
 
 
-def _note(now_ms: float, entry: Entry, unavailable: bool) -> None:
+def _update_availability(now_ms: float, entry: Entry, unavailable: bool) -> None:
+    """Record whether a member is unavailable, and when it became available again."""
     if entry.unavailable and not unavailable:
         entry.recovered_ms = now_ms
     entry.unavailable = unavailable
 
 
-def _with_standing(located: LocatedServer, standing: ServerStatus) -> LocatedServer:
-    return dataclasses.replace(located, listed=dataclasses.replace(located.listed, status=standing))
+def _with_status(located: LocatedServer, status: ServerStatus) -> LocatedServer:
+    return dataclasses.replace(located, listed=dataclasses.replace(located.listed, status=status))
