--- a/capershelf/estimation/fleet_estimates.py
+++ b/capershelf/estimation/fleet_estimates.py
@@ -1,8 +1,9 @@
 """One sender's estimates of all booking servers: capacity and load of each server, and load of the fleet.
 
 Hundreds of senders act on the same data, since every server reports its lines to all of them at once.  So an
-estimate sets a probability, never a yes or no: each call decides by a random draw of its own, and the senders
-together send what a server can handle, however many they are.  Pure: callers pass the time in milliseconds.
+estimate sets a probability rather than a yes or no: each call decides by its own random draw, so that the
+senders together send what a server can handle, however many they are.  Pure: callers pass the time in
+milliseconds.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 INTEGRAL_TIME_MS = 4000.0
 PROPORTIONAL_GAIN = 1.0
 MAX_INTEGRAL = 4.0  # admits one call in 55
-MIN_INTEGRAL = -0.7  # a server with room gets up to twice its share of the rerouted calls
-MAX_HELD_LOAD = 1.3  # most that the lines in use alone can show of a server's load, relative to its target
+MIN_INTEGRAL = -0.7  # a server with spare capacity gets up to twice its share of the rerouted calls
+MAX_HELD_LOAD = 1.3  # upper bound of the load derived from the lines in use, relative to the target rate
 
 # Free lines.
-LINE_RESERVE = 1.5  # fewer free lines than these expected arrivals per report interval are rationed
-FIRST_CHOICE_LINES = 0.3  # added to a first choice's ration, for lines become free before the next report
+LINE_RESERVE = 1.5  # free lines are rationed below this multiple of the need per report interval
+FIRST_CHOICE_LINES = 0.3  # added for first-choice calls, since lines become free before the next report
 REPORT_INTERVAL_MS = 1000.0
 
 # Load shedding, by the waits recently seen at all servers; waits are relative to the smallest aim.
@@ -36,7 +37,9 @@
 MAX_WAIT_SAMPLES = 31
 WAIT_QUANTILE = 0.7
 SHED_START = 0.3  # wait above which calls are shed
-SHED_START_LOAD_UNKNOWN = 0.8  # the same without load reports: a small server's work is a long wait, too
+SHED_START_LOAD_UNKNOWN = (
+    0.8  # without load reports, for the service time of a small server is a long wait, too
+)
 SHED_SPAN = 0.7  # wait above the start at which all calls would be shed
 EXCESS_DEMAND_GAIN = 0.7  # part of the excess demand that is shed on top
 MAX_SHED = 0.9
@@ -48,9 +51,9 @@
 MAX_WAIT_PENALTY = 3.0
 WAIT_PENALTY_STEP = 1.5  # most that one long wait adds
 WAIT_PENALTY_RELIEF = 0.3  # what one short wait takes off
-WAIT_PENALTY_FADE_MS = 3000.0  # time constant of the decay,
-WAIT_PENALTY_FADE_GAPS = 2.0  # extended by this many mean gaps between this sender's calls to the server
-LINES_DISTRUST_PENALTY = 0.2  # above it free lines are no sign of room: abandoned set-ups free them, too
+WAIT_PENALTY_FADE_MS = 3000.0  # time constant of the decay, without the call gaps
+WAIT_PENALTY_FADE_GAPS = 2.0  # mean gaps between this sender's calls to the server that extend the decay
+LINES_DISTRUST_PENALTY = 0.2  # above it free lines are not trusted: abandoned set-ups free them, too
 
 
 @dataclass(frozen=True, slots=True)
@@ -393,7 +396,7 @@
         wait = self.usual_wait_ms(now_ms) / self.timing.aim_ms
         if wait < SHED_START / 2.0:
             return (
-                0.0  # lines that fill up without any wait, as after a start of all servers, are no overload
+                0.0  # lines that fill up without long waits, as after a start of all servers, are no overload
             )
         late = (wait - (SHED_START if self.loads_known else SHED_START_LOAD_UNKNOWN)) / SHED_SPAN
         return min(MAX_SHED, max(0.0, late + EXCESS_DEMAND_GAIN * max(0.0, self.excess_demand)))
--- a/capershelf/subset/selection.py
+++ b/capershelf/subset/selection.py
@@ -2,8 +2,8 @@
 
 Each zone contributes members in proportion to its servers, rounded by systematic sampling over the zones with
 a start derived from the slot.  Within a zone the servers with the lowest sequence positions for the slot are
-selected.  So all servers are in about equally many subsets, and adding or removing one changes only the
-subsets that it enters or leaves, and a few through the rounding over the zones.
+selected.  So all servers are in about equally many subsets.  Adding or removing one changes only the subsets
+that it enters or leaves, and a few by the rounding over the zones.
 """
 
 from __future__ import annotations
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""What a whole fleet sends a cold booking server, counted by the server: never over its budget and chance."""
+"""Set-ups that a fleet sends to a cold booking server: within its budget and the margin for chance."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def allowed(budget: float) -> float:
-    """What the operators' rule leaves to chance."""
+    """The budget with the margin that the operators' rule allows for chance."""
     return budget + 2.0 * math.sqrt(budget) + 2.0
 
 
@@ -44,21 +44,21 @@
     step_ms=st.sampled_from([5.0, 25.0, 70.0]),
     idle=st.lists(st.booleans(), min_size=4, max_size=4),
 )
-def test_the_turns_of_all_senders_keep_the_budget_in_every_window(
+def test_the_tokens_of_all_senders_keep_the_budget_in_every_window(
     count: int, multiple: float, budget: float, step_ms: float, idle: list[bool]
 ) -> None:
-    """Greedy senders that use every turn; in between nobody wants anything, and nothing is saved up."""
-    turns = [ColdTokens(slot, count, 0.0, multiple) for slot in range(count)]
+    """Greedy senders use every token.  Idle periods lie in between, in which no tokens accumulate."""
+    senders = [ColdTokens(slot, count, 0.0, multiple) for slot in range(count)]
     sent: list[float] = []
     now_ms = 0.0
     while now_ms < 4000.0:
         now_ms += step_ms
-        for one in turns:
+        for one in senders:
             wants = not idle[int(now_ms // 1000.0) % 4]
-            while one.available(now_ms, budget / WINDOW_MS, WINDOW_MS) and wants:  # looked at all the time
-                assert one.consume() > now_ms, "a turn that is over"
+            while one.available(now_ms, budget / WINDOW_MS, WINDOW_MS) and wants:  # checked in every step
+                assert one.consume() > now_ms, "an expired token"
                 sent.append(now_ms)
-    # A step that the test takes lies within a turn's time or after it: it adds what opens in one step.
+    # The test looks at the tokens once per step, so the tokens issued in one step may come on top.
     bound = fleet_limit(budget) + tokens_per_window(budget, multiple) * step_ms / WINDOW_MS + 1.0
     assert (
         most_in_a_window(sent)
@@ -67,35 +67,35 @@
     )
 
 
-def test_a_fleet_that_wanted_nothing_for_long_has_saved_nothing_up() -> None:
-    budget, turns = 20.0, [ColdTokens(slot, FLEET, 0.0, 3.0) for slot in range(FLEET)]
-    for step in range(1, 4000):  # looked at all the time, and not used
-        for one in turns:
+def test_unused_tokens_of_an_idle_fleet_do_not_accumulate() -> None:
+    budget, senders = 20.0, [ColdTokens(slot, FLEET, 0.0, 3.0) for slot in range(FLEET)]
+    for step in range(1, 4000):  # checked in every step, never used
+        for one in senders:
             one.available(step * 5.0, budget / WINDOW_MS, WINDOW_MS)
-    assert sum(map(len, turns)) <= tokens_per_window(budget, 3.0) * token_valid_windows(3.0) + 1.0
+    assert sum(map(len, senders)) <= tokens_per_window(budget, 3.0) * token_valid_windows(3.0) + 1.0
 
 
-def test_a_sender_that_restarts_begins_with_no_turn() -> None:
-    """The whole fleet is killed again and again just after using its turns."""
+def test_a_restarted_sender_has_no_token() -> None:
+    """The whole fleet is killed repeatedly, each time just after using its tokens."""
     budget, sent, now_ms = 60.0, list[float](), 0.0
-    turns = [ColdTokens(slot, FLEET, now_ms, 3.0) for slot in range(FLEET)]
+    senders = [ColdTokens(slot, FLEET, now_ms, 3.0) for slot in range(FLEET)]
     for step in range(800):
         now_ms += 5.0
         if step % 100 == 99:
-            turns = [ColdTokens(slot, FLEET, now_ms, 3.0) for slot in range(FLEET)]
-        for one in turns:
+            senders = [ColdTokens(slot, FLEET, now_ms, 3.0) for slot in range(FLEET)]
+        for one in senders:
             if one.available(now_ms, budget / WINDOW_MS, WINDOW_MS):
                 one.consume()
                 sent.append(now_ms)
     assert most_in_a_window(sent) <= fleet_limit(budget) + 2.0
-    assert len(sent) > 0.5 * tokens_per_window(budget, 3.0) * 4, "and they do send"
+    assert len(sent) > 0.5 * tokens_per_window(budget, 3.0) * 4, "the senders do send"
 
 
-def test_turns_are_the_slots_of_group_size_one_after_another() -> None:
+def test_tokens_are_issued_round_robin_by_slot() -> None:
     budget, order = 10.0, list[int]()
-    turns = [ColdTokens(slot, 5, 0.0, 3.0) for slot in range(5)]
+    senders = [ColdTokens(slot, 5, 0.0, 3.0) for slot in range(5)]
     for step in range(1, 1000):
-        for slot, one in enumerate(turns):
+        for slot, one in enumerate(senders):
             if one.available(step * 5.0, budget / WINDOW_MS, WINDOW_MS):
                 one.consume()
                 order.append(slot)
@@ -103,11 +103,12 @@
 
 
 class World:
-    """Gateways that have seen warm servers tell what they can take, and one that has just started.
+    """Gateways that have load reports of warm servers, and a server that has just started.
 
-    All calls are for the new one.  The set-ups are counted where the server reads them."""
+    All calls prefer the new server.  The set-ups are counted where the server reads them.
+    """
 
-    def __init__(self, fleet: int, per_s: float, told: bool = True) -> None:
+    def __init__(self, fleet: int, per_s: float, reports: bool = True) -> None:
         self.per_s = per_s
         self.terms = settings(
             gateway_count=fleet, fall_multiple=3.0, fall_ms=WINDOW_MS, cold_from=0.3, ramp_ms=14000.0
@@ -115,9 +116,9 @@
         self.now_ms, self.calls, self.sent = 1000.0, 0, list[float]()
         self.noise = random.Random(5)
         self.fleet = [self.gateway(number) for number in range(fleet)]
-        if told:
+        if reports:
             for one in self.fleet:
-                self.tell_of_warm(one)
+                self.report_warm(one)
 
     def gateway(self, number: int) -> Controller:
         one = Controller(
@@ -133,7 +134,7 @@
         one.handle(self.now_ms, api.ServerList(1, True, (listed("s0", 0), listed("s1", 1))))
         return one
 
-    def tell_of_warm(self, one: Controller) -> None:
+    def report_warm(self, one: Controller) -> None:
         for server in ("s0", "s1"):
             per_s = self.per_s * self.noise.uniform(0.88, 1.12)
             one.handle(
@@ -141,7 +142,7 @@
                 api.ServerReport(server, api.Result.OK, api.LoadReport(80.0, 100.0, None, per_s), False),
             )
 
-    def starts(self) -> None:
+    def start_new(self) -> None:
         self.began_ms = self.now_ms
         for one in self.fleet:
             one.handle(
@@ -157,14 +158,14 @@
                 ),
             )
 
-    def play(self, span_ms: float, each_ms: float) -> None:
-        """Every gateway is asked for a call each so often; the server answers none before the next step."""
+    def play(self, span_ms: float, call_interval_ms: float) -> None:
+        """Each gateway gets a call per call_interval_ms on average; a set-up succeeds in the same step."""
         until_ms = self.now_ms + span_ms
         while self.now_ms < until_ms:
             self.now_ms += 25.0
             for one in self.fleet:
                 actions = one.handle(self.now_ms, api.TimerFired("tick"))
-                if self.noise.random() < 25.0 / each_ms:
+                if self.noise.random() < 25.0 / call_interval_ms:
                     self.calls += 1
                     actions = actions + one.handle(
                         self.now_ms,
@@ -192,18 +193,20 @@
         (200, 10.0),
     ],
 )
-def test_a_fleet_that_sends_all_it_has_to_a_cold_server_keeps_its_budget(fleet: int, per_s: float) -> None:
+def test_a_fleet_whose_calls_all_prefer_a_cold_server_keeps_its_budget(fleet: int, per_s: float) -> None:
     world = World(fleet, per_s)
-    world.starts()
+    world.start_new()
     world.play(3000.0, 60.0)
-    assert most_in_a_window(world.sent) <= allowed(world.budget(0.0)), "the least that it may be"
-    # What it can do at that speed is a third of what it may be sent: it is not left idle.
-    assert len(world.sent) >= 0.5 * world.budget(0.0)  # of 3 s in which it could do as many
+    assert most_in_a_window(world.sent) <= allowed(world.budget(0.0)), (
+        "the budget at the start, which is its minimum"
+    )
+    # Its capacity while cold is a third of the budget: the server is not left idle.
+    assert len(world.sent) >= 0.5 * world.budget(0.0)  # in 3 s, in which it could handle a full budget
 
 
-def test_restarts_of_most_of_a_fleet_do_not_double_what_a_cold_server_gets() -> None:
+def test_restarts_of_most_of_a_fleet_do_not_double_the_set_ups_of_a_cold_server() -> None:
     world = World(FLEET, 10.0)
-    world.starts()
+    world.start_new()
     world.play(2000.0, 60.0)
     before = list(world.sent)
     world.fleet[:21] = [world.gateway(number) for number in range(21)]
@@ -220,21 +223,21 @@
                 ),
             ),
         )
-        world.tell_of_warm(one)
+        world.report_warm(one)
     world.play(1500.0, 60.0)
     assert most_in_a_window(world.sent) <= allowed(world.budget(0.0))
     assert len(world.sent) > len(before)
 
 
-def test_gateways_that_know_nothing_send_a_cold_server_no_more_than_any_can_do() -> None:
-    world = World(FLEET, 0.0, told=False)
-    world.starts()
-    world.play(1500.0, 2000.0)  # each is asked little: together 15 a second
+def test_gateways_without_estimates_send_a_cold_server_only_what_any_server_can_handle() -> None:
+    world = World(FLEET, 0.0, reports=False)
+    world.start_new()
+    world.play(1500.0, 2000.0)  # together 15 calls per second
     assert most_in_a_window(world.sent) <= allowed(4.0)
 
 
-def test_set_ups_that_wait_for_a_connection_to_a_cold_server_do_not_come_in_one_burst() -> None:
-    """Thirty planners whose connections come up late, in the same moment; counted where they are written."""
+def test_set_ups_that_wait_for_a_connection_to_a_cold_server_do_not_arrive_in_one_burst() -> None:
+    """Thirty planners connect late, at the same moment; set-ups are counted when they are written."""
     per_s, clock = 20.0, ManualClock()
     written: list[float] = []
     planners: list[Planner] = []
@@ -255,7 +258,7 @@
         )
         planner.servers = servers = FakeServers(clock)
 
-        def noted(
+        def set_up(
             server: str,
             epoch: int,
             request: m.SetUp,
@@ -267,7 +270,7 @@
                 written.append(clock.now_ms())
             FakeServers.set_up(servers, server, epoch, request, remaining_ms, gate)
 
-        servers.set_up = noted  # type: ignore[method-assign]
+        servers.set_up = set_up  # type: ignore[method-assign]
         planner.tell(m.ServerListUpdate(1, True, (m.LocatedServer(listed("s0", 0), "127.0.0.1:1"),)))
         planner.inbox.put(m.LinkUp("s0", 1))
         planner.inbox.put(m.ServerReported("s0", api.LoadReport(80.0, 100.0, None, per_s)))
@@ -287,18 +290,18 @@
         for planner in planners:
             if step % 10 == 0:
                 calls += 1
-                asked = m.SetUp(f"{calls:016x}", "dear", clock.now_ms() + 30_000.0, f"n{calls}", "sdp", 0)
-                planner.inbox.put(m.SetUpReceived(asked, FakeCaller(False)))
+                request = m.SetUp(f"{calls:016x}", "dear", clock.now_ms() + 30_000.0, f"n{calls}", "sdp", 0)
+                planner.inbox.put(m.SetUpReceived(request, FakeCaller(False)))
             if step == 320:
                 planner.inbox.put(m.LinkUp("n0", 2))
             while not planner.inbox.empty():
                 planner.step()
         clock.advance(25.0)
     assert min(written) >= 1_000_000.0 + 320 * 25.0
-    # As each knows it: by what the other server told for its lines, and the least that it may have warmed up.
+    # As each planner estimates it: from the other server's reported capacity per line and the minimum warmth.
     budget = 3.0 * (0.3 + 0.7 * (8000.0 / 14000.0) ** 2) * per_s / (1.0 + LINE_ESTIMATE_ERROR)
-    at_once = sum(1 for at_ms in written if at_ms == min(written))
+    burst = sum(1 for at_ms in written if at_ms == min(written))
     bound = tokens_per_window(budget, 3.0) * token_valid_windows(3.0) + 1.0
-    assert 0 < at_once <= bound, "turns that were over before the connection was there"
+    assert 0 < burst <= bound, "tokens that expired before the connection was up"
     budget = 3.0 * (0.3 + 0.7 * 10000.0 / 14000.0) * per_s
     assert most_in_a_window(written) <= fleet_limit(budget) + 1.0
--- a/tests/test_subset_running.py
+++ b/tests/test_subset_running.py
@@ -1,4 +1,4 @@
-"""Subsets in the running parts: configuration, planner, odd lists; off unless an operator's file has them."""
+"""Subsets in the running parts: configuration, planner and invalid lists; off unless configured."""
 
 from __future__ import annotations
 
@@ -57,14 +57,14 @@
         ({"size": 8, "sise": 9}, "subset.sise is not a setting"),
     ],
 )
-def test_a_subset_that_makes_no_sense_gets_one_error_with_its_path(
+def test_an_invalid_subset_is_rejected_with_the_path_of_the_setting(
     subset: dict[str, Any], problem: str
 ) -> None:
     with pytest.raises(ValueError, match=problem.replace(".", r"\.")):
         configuration.read(table(subset=subset), {})
 
 
-def test_check_config_says_what_the_subset_gives(tmp_path: Path) -> None:
+def test_check_config_summarizes_the_subset(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     pool = "".join(
         f'\n[[known.notices.pool.targets]]\nuid = "s{n}"\nendpoint = "127.0.0.1:{7000 + n}"\n'
@@ -77,14 +77,14 @@
         f"{text[: text.index('[unused-eureka]')]}{text[text.index('[settings]') :]}\n"
         f"[subset]\nsize = 4\n{known}{pool}"
     )
-    told = CliRunner().invoke(main, ["check-config", "--config", str(path)])
-    assert told.exit_code == 0, told.output
-    assert "subset: up to 4 servers of each service: 6 links to 12 listed in 2 service(s)" in told.output
+    result = CliRunner().invoke(main, ["check-config", "--config", str(path)])
+    assert result.exit_code == 0, result.output
+    assert "subset: up to 4 servers of each service: 6 links to 12 listed in 2 service(s)" in result.output
     path.write_text(text[: text.index("[unused-eureka]")] + text[text.index("[settings]") :])
     assert "subset: off" in CliRunner().invoke(main, ["check-config", "--config", str(path)]).output
 
 
-def test_each_planner_has_the_subset_of_its_own_slot_and_none_unless_it_is_turned_on() -> None:
+def test_each_planner_has_the_subset_of_its_slot_only_where_subsetting_is_configured() -> None:
     node = Node(configuration.read(table(subset={"size": SIZE}, planners=2), {}), ManualClock())
     first, second = node.planners
     for planner in node.planners:
@@ -104,7 +104,7 @@
 
 # -- the planner --------------------------------------------------------------------------------------
 class Rig:
-    """A planner with a subset, its links up, on a clock moved by hand."""
+    """A planner with a subset, its links up, on a manual clock."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -113,24 +113,24 @@
         self.servers = self.planner.servers = FakeServers(self.clock)
         self.planner.subset = Membership(3, SIZE, terms.ramp_ms)
         self.version = self.epochs = 0
-        self.list(*(self.entry(number) for number in range(SERVERS)), whole=True)
+        self.list(*(self.entry(number) for number in range(SERVERS)), complete=True)
         self.planner._review_subset()
         for server in self.members:
             self.up(server)
 
     @staticmethod
-    def entry(number: int, standing: api.ServerStatus = api.ServerStatus.ACTIVE) -> m.LocatedServer:
+    def entry(number: int, status: api.ServerStatus = api.ServerStatus.ACTIVE) -> m.LocatedServer:
         return m.LocatedServer(
-            listed(f"s{number}", number, standing), f"127.0.0.1:{7000 + number}", f"z{number % 3}"
+            listed(f"s{number}", number, status), f"127.0.0.1:{7000 + number}", f"z{number % 3}"
         )
 
     @property
     def members(self) -> list[str]:
         return sorted(one.id for one in self.planner._known.values() if not one.draining)
 
-    def list(self, *servers: m.LocatedServer, whole: bool = False) -> None:
+    def list(self, *servers: m.LocatedServer, complete: bool = False) -> None:
         self.version += 1
-        self.planner.tell(m.ServerListUpdate(self.version, whole, servers))
+        self.planner.tell(m.ServerListUpdate(self.version, complete, servers))
         self.settle()
 
     def settle(self) -> None:
@@ -150,14 +150,16 @@
             self.clock.advance(25.0)
             self.put(m.InboxBarrier(lambda: None))
 
-    def call(self, number: int, far_end: int) -> FakeCaller:
+    def call(self, number: int, preferred_pool: int) -> FakeCaller:
         caller = FakeCaller(False)
-        asked = m.SetUp(f"{number:016x}", "usual", self.clock.now_ms() + 3000.0, f"n{number}", "sdp", far_end)
-        self.put(m.SetUpReceived(asked, caller))
+        request = m.SetUp(
+            f"{number:016x}", "usual", self.clock.now_ms() + 3000.0, f"n{number}", "sdp", preferred_pool
+        )
+        self.put(m.SetUpReceived(request, caller))
         return caller
 
 
-def test_a_first_choice_outside_the_subset_is_served_by_a_member() -> None:
+def test_a_call_that_prefers_a_server_outside_the_subset_goes_to_a_member() -> None:
     rig = Rig()
     outside = next(number for number in range(SERVERS) if f"s{number}" not in rig.members)
     rig.call(1, outside)
@@ -170,7 +172,7 @@
     assert len(rig.planner._known) == len(rig.members) == SIZE
 
 
-def test_a_member_that_drains_is_replaced_and_gets_nothing_new() -> None:
+def test_a_draining_member_is_replaced_and_gets_no_new_calls() -> None:
     rig = Rig()
     drained = rig.members[0]
     rig.servers.drains.add(drained)
@@ -183,7 +185,7 @@
     assert len(rig.members) == SIZE and drained not in rig.servers.out.values()
 
 
-def test_a_call_that_stands_at_a_server_that_left_the_subset_ends_once() -> None:
+def test_an_established_call_at_a_server_that_left_the_subset_ends_once() -> None:
     rig = Rig()
     before = set(rig.members)
     lost = rig.members[0]
@@ -191,7 +193,7 @@
     rig.advance(200.0)
     (substitute,) = set(rig.members) - before
     rig.up(substitute)
-    for other in before - {lost}:  # so that the substitute is asked
+    for other in before - {lost}:  # so that the call goes to the substitute
         rig.put(m.LinkDown(other, rig.planner._known[other].epoch))
     caller = rig.call(1, int(substitute[1:]))
     assert rig.servers.out == {f"{1:016x}": substitute}
@@ -201,22 +203,22 @@
     for server in before:
         rig.up(server)
     rig.advance(7000.0)
-    assert rig.planner._known[substitute].draining, "it is not wanted any more"
+    assert rig.planner._known[substitute].draining, "the substitute is no longer needed"
     assert set(rig.members) == before
     rig.advance(3000.0)
-    assert [type(word) for word in caller.heard] == [m.Answered], "and the call stands on"
+    assert [type(message) for message in caller.heard] == [m.Answered], "the call stays established"
     rig.put(
         m.ServerReleased(
             substitute, f"{1:016x}", m.CAUSE_NORMAL, api.Result.ERROR, api.RefusalReason.UNSPECIFIED, None
         )
     )
-    assert [type(word) for word in caller.heard] == [m.Answered, m.Ended]
+    assert [type(message) for message in caller.heard] == [m.Answered, m.Ended]
     rig.advance(2000.0)
-    assert substitute not in rig.planner._known, "no link is held for it"
+    assert substitute not in rig.planner._known, "its link is closed"
     assert len(caller.heard) == 2
 
 
-def test_with_all_members_gone_a_call_goes_to_a_server_that_is_found_before_it_is_refused() -> None:
+def test_a_call_goes_to_a_substitute_when_all_members_are_disconnected() -> None:
     rig = Rig()
     before = set(rig.members)
     caller = rig.call(1, 0)
@@ -228,37 +230,37 @@
     assert len(substitutes) >= SIZE
     for server in sorted(substitutes):
         rig.up(server)
-    rig.advance(100.0)  # until its release is over
+    rig.advance(100.0)  # until the first attempt is released
     assert caller.heard == []
     assert rig.servers.out[f"{1:016x}"] in substitutes - {first}
 
 
-# -- odd lists ----------------------------------------------------------------------------------------
-def test_a_long_list_with_odd_entries_loses_these_alone() -> None:
+# -- invalid lists ------------------------------------------------------------------------------------
+def test_invalid_entries_of_a_long_list_are_the_only_ones_dropped() -> None:
     lines: queue.SimpleQueue[str] = queue.SimpleQueue()
     sink = logger.add(lambda message: lines.put(str(message)), level="WARNING", format="{message}")
     targets = [target(number) for number in range(1100)]
-    targets[5] = target(4)  # a double id
-    targets[6] = target(6, az=["z1"])  # no zone
-    targets[7] = target(7, service=9)  # no service
+    targets[5] = target(4)  # a duplicate id
+    targets[6] = target(6, az=["z1"])  # the zone is no text
+    targets[7] = target(7, service=9)  # the service is no text
     targets[8] = target(8, az="z" * 500)
     targets += [target(9, service="other")]  # one server in two services
     try:
-        news = read_pool({"rev": 1, "all": True, "targets": targets}, True)
+        update_read = read_pool({"rev": 1, "all": True, "targets": targets}, True)
     finally:
         logger.remove(sink)
     assert lines.qsize() == 5
     membership = Membership(3, 20, 14_000.0)
-    update = membership.update_list(0.0, news.servers, news.retained)
-    assert len(news.servers) == 1100 - 4 and len(update.servers) == 20
-    names = [one.listed.server for one in news.servers]
+    update = membership.update_list(0.0, update_read.servers, update_read.retained)
+    assert len(update_read.servers) == 1100 - 4 and len(update.servers) == 20
+    names = [one.listed.server for one in update_read.servers]
     assert len(set(names)) == len(names)
-    assert next(one for one in news.servers if one.listed.server == "s9").service == ""
+    assert next(one for one in update_read.servers if one.listed.server == "s9").service == ""
 
 
-def test_places_are_those_of_all_classes_or_any() -> None:
-    def kind(places: tuple[int, ...] | None) -> api.CallClass:
-        return api.CallClass("a", 1.0, 2.0, pools=None if places is None else frozenset(places))
+def test_subset_pools_are_those_of_all_classes_or_unrestricted() -> None:
+    def kind(pools: tuple[int, ...] | None) -> api.CallClass:
+        return api.CallClass("a", 1.0, 2.0, pools=None if pools is None else frozenset(pools))
 
     assert places_of(settings(classes=(kind((0, 1)), kind((1, 2))))) == frozenset({0, 1, 2})
     assert places_of(settings(classes=(kind((0, 1)), kind(None)))) is None
