--- a/capershelf/control.py
+++ b/capershelf/control.py
@@ -40,7 +40,7 @@
     SettingsChanged,
     TimerFired,
 )
-from capershelf.estimation import RATE_MS, ColdTokens, FleetEstimates, Quotas, Rate, Timing
+from capershelf.estimation import RATE_FADE_MS, ColdTokens, FleetEstimates, Quotas, Rate, Timing
 
 # Overload detector, as in the paper and docs/design.md.
 OVERLOAD_RATIO = 1.2  # a server is overloaded above this ratio of sent to answered load
@@ -327,7 +327,7 @@
         )
         for gate in self.gates.values():
             gate.overtake_margin_ms = OVERTAKEN_LIMIT_SHARE * self.wait_limit_ms
-        self.quotas.adopt({tenant.name: tenant.quota_per_s for tenant in settings.tenants})
+        self.quotas.configure({tenant.name: tenant.quota_per_s for tenant in settings.tenants})
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Process one event; the host carries out the returned actions in order."""
@@ -394,8 +394,8 @@
         call = Call(event, call_class, self.now_ms)
         self.calls[call.id] = self.held[call.id] = call
         self.assess_worth(call, event.tenant)
-        self.estimates.note_call(self.now_ms, call_class.hold_ms, call.weight, call.worth)
-        if self.estimates.sheds(self.now_ms, call.worth, hash_draw(call, 0)):
+        self.estimates.record_call(self.now_ms, call_class.hold_ms, call.weight, call.worth)
+        if self.estimates.should_shed(self.now_ms, call.worth, hash_draw(call, 0)):
             self.answer(call, Refuse(call.id))
 
     def current_call(self, gate: Gate | None, event: AttemptSucceeded | AttemptEnded) -> Call | None:
@@ -414,14 +414,14 @@
         gate.base_latency_ms = min(gate.base_latency_ms, event.wait_ms)
         if self.stall_ended_ms < self.now_ms or event.wait_ms - gate.base_latency_ms <= self.wait_limit_ms:
             gate.observe_wait(self.now_ms, event.wait_ms - gate.base_latency_ms, WAIT_SMOOTHING)
-            self.estimates.note_wait(self.now_ms, gate.id, event.wait_ms - gate.base_latency_ms)
+            self.estimates.record_wait(self.now_ms, gate.id, event.wait_ms - gate.base_latency_ms)
         gate.last_answer_ms = self.now_ms
         gate.newest_answered_sent_ms = max(gate.newest_answered_sent_ms, call.sent_ms)
         gate.answer_times_ms.append(self.now_ms)
         while gate.answer_times_ms[0] <= self.now_ms - self.pace_window_ms:
             gate.answer_times_ms.popleft()
         if self.best_rate > 0:
-            self.best_rate *= math.exp((self.established_meter.at_ms - self.now_ms) / BEST_RATE_DECAY_MS)
+            self.best_rate *= math.exp((self.established_meter.updated_ms - self.now_ms) / BEST_RATE_DECAY_MS)
         self.established_meter.add(self.now_ms)
         self.best_rate = max(self.best_rate, self.established_meter.value(self.now_ms))
         gate.answered_load += call.weight
@@ -452,7 +452,7 @@
                 gate.decayed_wait_ms(self.now_ms), min(self.now_ms - call.sent_ms, call.timeout_ms)
             )
             gate.observed_at_ms = self.now_ms
-            self.estimates.note_wait(self.now_ms, gate.id, self.now_ms - call.sent_ms)
+            self.estimates.record_wait(self.now_ms, gate.id, self.now_ms - call.sent_ms)
         if event.result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED):
             call.release_done_ms = self.now_ms + self.settings.release_ms
             # The call was sent, not held: what is left of its aim after the release is worth another attempt.
@@ -571,7 +571,7 @@
             return
         if report.free_lines is not None:
             gate.free_lines, gate.lines = report.free_lines, report.lines or gate.lines
-        self.estimates.take_report(
+        self.estimates.record_report(
             self.now_ms, gate.id, report.free_lines, report.lines, report.allowed_per_s
         )
         gate.wait_decay_ms = math.inf
@@ -598,7 +598,7 @@
             call.worth *= call.call_class.late_worth
         if self.number_busy_until_ms.get(call.number, -math.inf) > self.now_ms:
             call.worth *= BUSY_NUMBER_WORTH_FACTOR
-        if tenant is not None and self.quotas.beyond(self.now_ms, tenant):
+        if tenant is not None and self.quotas.is_exceeded(self.now_ms, tenant):
             call.worth *= self.settings.over_quota_worth
         hold_ms = MAX_HOLD_SHARE * call.call_class.aim_ms
         if call.worth < LOW_WORTH_SHARE * self.min_worth or call.aim_due_ms <= self.now_ms:
@@ -711,14 +711,14 @@
 
     def new_call_rate(self) -> float:
         """Return the new calls per ms: the measured average, or the restored rate while that is higher."""
-        restored = self.restored_calls_per_ms * math.exp((self.restored_ms - self.now_ms) / RATE_MS)
+        restored = self.restored_calls_per_ms * math.exp((self.restored_ms - self.now_ms) / RATE_FADE_MS)
         return max(restored, self.new_call_meter.value(self.now_ms))
 
     def capacity_share(self, gate: Gate) -> float:
         """Return the server's share of the capacity of all servers.
 
         Rerouting that took all servers to be of one size overloaded the small ones."""
-        return self.estimates.share(gate.id)
+        return self.estimates.capacity_share(gate.id)
 
     def check_silence(self, gate: Gate, open_gate: Gate | None) -> Gate | None:
         """Eject a server that leaves set-ups unanswered (hung, stopped or unreachable).
@@ -795,7 +795,7 @@
         neither all choose the same server nor crowd small ones.  While no sizes are known, the sender's hash
         order replaces the draw.  A cold server that this sender has a token for precedes all warm ones,
         because a token can't be kept."""
-        draw = hash_draw(call, gate.rank) if self.estimates.most_lines > 0 else 1.0 - gate.rank / 2**32
+        draw = hash_draw(call, gate.rank) if self.estimates.max_active_lines > 0 else 1.0 - gate.rank / 2**32
         room = max(0.05, 1.0 - gate.decayed_wait_ms(self.now_ms) / self.wait_limit_ms)
         distance = -math.log(draw) / max(1e-9, self.estimates.reroute_weight(self.now_ms, gate.id) * room)
         return self.ramp_progress(gate) >= 1.0, distance
@@ -876,7 +876,7 @@
         if (progress := self.ramp_progress(gate)) >= 1.0:
             return True
         ramp_share = self.settings.cold_from + (1.0 - self.settings.cold_from) * max(0.0, progress) ** 2
-        if (sure_per_s := self.estimates.sure_per_s(gate.id)) is not None:
+        if (sure_per_s := self.estimates.min_capacity_per_s(gate.id)) is not None:
             capacity = sure_per_s / 1000.0
         else:
             # What the server does for this sender, times the number of senders: its share of the answers, or
@@ -914,7 +914,7 @@
         if gate.free_lines is not None:
             gate.free_lines = max(0.0, gate.free_lines - call.weight)  # until the next report
         gate.last_sent_ms = self.now_ms
-        begin_by_ms = gate.tokens.use() if self.ramp_progress(gate) < 1.0 else math.inf
+        begin_by_ms = gate.tokens.consume() if self.ramp_progress(gate) < 1.0 else math.inf
         # Held calls pass an open gate at a pace: twice its answer rate near the wait limit, faster at a
         # shorter wait.  Otherwise a server that just recovered would get the queues of all senders at once.
         load = gate.estimated_wait_ms(self.now_ms, self.stall_ended_ms) / self.wait_limit_ms
