--- a/capershelf/core/__init__.py
+++ b/capershelf/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes, and the thread that owns the decision module.  No socket, no wire."""
+"""Call handling: requests, attempts, outcomes, and the planner thread.  Free of sockets and wire formats."""
--- a/capershelf/core/call_table.py
+++ b/capershelf/core/call_table.py
@@ -1,6 +1,6 @@
-"""The calls that a planner has: open, standing, or over and not yet told to a caller.
+"""A planner's calls: open, established, or ended with a message that is not yet delivered.
 
-Pure, and owned by the planner's thread; others may read the counters.  Times are Unix milliseconds.
+No I/O.  Owned by the planner's thread; other threads may read the counters.  Times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -8,88 +8,93 @@
 import math
 from collections.abc import Callable
 
-from capershelf.core import model as m
+from capershelf.core import model
 
 
 class CallTable:
-    """Calls by their key, and how many outcomes were given."""
+    """Calls by key, with outcome counters."""
 
     def __init__(self) -> None:
-        self.by_key: dict[int, m.Call] = {}
-        self.unheard: dict[int, m.Call] = {}  # ended, and not yet told to a caller
+        self.by_key: dict[int, model.Call] = {}
+        # Ended established calls whose end is not yet delivered.
+        self.undelivered_ends: dict[int, model.Call] = {}
         self.open_count = 0
-        self.given, self.refused = 0, 0  # outcomes, and those among them that were no
-        # Calls that were given up while they were out: until when their id rests, should it come again.
-        self._resting: dict[int, float] = {}
-        self._reset_at: dict[int, str] = {}  # where an attempt was reset lately: its answer may still come
-
-    def add(self, request: m.SetUp, caller: m.Caller) -> m.Call:
-        """A new open call."""
-        call = self.by_key[request.key] = m.Call(request, caller)
-        call.not_before_ms = self._resting.get(request.key, -math.inf)
+        # All outcomes; those that were Refused or Failed, without abandoned and expired calls.
+        self.outcome_count, self.rejected_count = 0, 0
+        # End of the release gap by key, for calls abandoned during an attempt: a new call may reuse the key.
+        self._release_gap_ends: dict[int, float] = {}
+        # Servers of recently reset attempts by call key: their answers may still arrive.
+        self._recent_resets: dict[int, str] = {}
+
+    def add(self, request: model.SetUp, caller: model.Caller) -> model.Call:
+        """Add a new open call."""
+        call = self.by_key[request.key] = model.Call(request, caller)
+        call.not_before_ms = self._release_gap_ends.get(request.key, -math.inf)
         self.open_count += 1
         return call
 
-    def find(self, call_id: str) -> m.Call | None:
-        """The call of this id, 16 hex digits."""
+    def find(self, call_id: str) -> model.Call | None:
+        """Look up a call by its id (16 hex digits)."""
         return self.by_key.get(int(call_id, 16))
 
-    def open(self) -> list[m.Call]:
-        """Those whose outcome is owed."""
-        return [call for call in self.by_key.values() if call.state is m.CallState.OPEN]
+    def open_calls(self) -> list[model.Call]:
+        """Calls whose outcome is pending."""
+        return [call for call in self.by_key.values() if call.state is model.CallState.OPEN]
 
-    def of(self, caller: m.Caller) -> list[m.Call]:
-        """Those that this caller hears of."""
+    def for_caller(self, caller: model.Caller) -> list[model.Call]:
+        """Calls whose messages go to this caller."""
         return [call for call in self.by_key.values() if call.caller is caller]
 
-    def unheard_of(self, host: str) -> list[m.Call]:
-        """Those whose end is to be told to any caller of this host."""
-        return [call for call in self.unheard.values() if call.lost_caller_host == host]
+    def undelivered_ends_for(self, host: str) -> list[model.Call]:
+        """Ended calls whose end may be delivered to any caller from this host."""
+        return [call for call in self.undelivered_ends.values() if call.lost_caller_host == host]
 
-    def all_over(self) -> bool:
-        """Whether no outcome and no end is owed any more."""
-        return all(call.state is m.CallState.ENDED for call in self.by_key.values())
+    def all_ended(self) -> bool:
+        """Whether no call is open or established."""
+        return all(call.state is model.CallState.ENDED for call in self.by_key.values())
 
-    def latch(self, call: m.Call) -> bool:
-        """Whether the call's one outcome is still to be given; it counts as given from here on."""
-        if call.state is not m.CallState.OPEN:
+    def claim_outcome(self, call: model.Call) -> bool:
+        """Mark an open call as ended, for its one outcome to be given; False if it has had its outcome."""
+        if call.state is not model.CallState.OPEN:
             return False
-        call.state = m.CallState.ENDED
+        call.state = model.CallState.ENDED
         self.open_count -= 1
-        self.given += 1
+        self.outcome_count += 1
         return True
 
-    def keep(self, call: m.Call, word: m.CallerMessage, timer: m.Cancellable) -> None:
-        """Keep a call that is over for a caller out of reach, until the timer forgets it."""
-        call.undelivered, call.expiry_timer = word, timer
+    def retain_undelivered(
+        self, call: model.Call, message: model.CallerMessage, timer: model.Cancellable
+    ) -> None:
+        """Keep an ended call for a caller that is not connected; its timer removes it later."""
+        call.undelivered, call.expiry_timer = message, timer
         self.by_key[call.request.key] = call
 
-    def forget(self, call: m.Call) -> None:
-        """Let go of the call and its timer; another of the same key stays."""
+    def remove(self, call: model.Call) -> None:
+        """Remove the call and cancel its timer; a newer call of the same key stays."""
         if call.expiry_timer is not None:
             call.expiry_timer.cancel()
         if self.by_key.get(call.request.key) is call:
             del self.by_key[call.request.key]
-        self.unheard.pop(call.request.key, None)
+        self.undelivered_ends.pop(call.request.key, None)
 
-    def rest(self, key: int, until_ms: float) -> Callable[[], None]:
-        """A call of this key that comes again waits so long; what to do once that time is over."""
-        self._resting[key] = until_ms
+    def start_release_gap(self, key: int, until_ms: float) -> Callable[[], None]:
+        """Delay a new call of this key until then; returns the callback to run at that time."""
+        self._release_gap_ends[key] = until_ms
 
-        def rested() -> None:
-            if self._resting.get(key) == until_ms:
-                del self._resting[key]
+        def end_gap() -> None:
+            if self._release_gap_ends.get(key) == until_ms:
+                del self._release_gap_ends[key]
 
-        return rested
+        return end_gap
 
-    def note_reset(self, key: int, server: str) -> Callable[[], None]:
-        """An attempt was reset at the server; what to do once its answer can't come any more."""
-        self._reset_at[key] = server
-        return lambda: self._heard_out(key)
+    def record_reset(self, key: int, server: str) -> Callable[[], None]:
+        """Record a reset attempt; returns the callback to run once it can no longer be answered."""
+        self._recent_resets[key] = server
+        return lambda: self._remove_reset(key)
 
-    def _heard_out(self, key: int) -> None:
-        self._reset_at.pop(key, None)
+    def _remove_reset(self, key: int) -> None:
+        self._recent_resets.pop(key, None)
 
     def was_reset_at(self, call_id: str, server: str) -> bool:
-        """Whether an attempt of the call was reset at the server lately."""
-        return self._reset_at.get(int(call_id, 16)) == server
+        """Whether an attempt of the call was recently reset at the server."""
+        return self._recent_resets.get(int(call_id, 16)) == server
--- a/capershelf/core/clock.py
+++ b/capershelf/core/clock.py
@@ -1,6 +1,7 @@
-"""The clock, and the queue that waits by it.
+"""The clock, and the queue that waits with it.
 
-Times are Unix milliseconds.  A deadline is a time on this clock; nothing in this program hands a time-out on.
+Times are Unix milliseconds.  A deadline is an absolute time on this clock; the program passes deadlines on
+rather than time-outs.
 """
 
 from __future__ import annotations
@@ -13,70 +14,71 @@
 
 T = TypeVar("T")
 
-BACKLOG_MS = 200.0  # what came while this process stood still has been read so long after it goes on
+# Time after a pause of the process in which input that arrived during it may still be unread.
+PAUSE_BACKLOG_MS = 200.0
 
 
 @dataclass(frozen=True, slots=True)
-class Standstill:
-    """A time in which no thread of this process ran: it was stopped, or had no processor."""
+class ProcessPause:
+    """A period in which no thread of this process ran, because it was stopped or got no processor time."""
 
-    since_ms: float
-    until_ms: float
+    start_ms: float
+    end_ms: float
 
-    def unread_ms(self, now_ms: float) -> float:
-        """How long what is read now may have lain unread at the most; 0 once the backlog is read."""
-        return now_ms - self.since_ms if now_ms - self.until_ms <= BACKLOG_MS else 0.0
+    def max_unread_ms(self, now_ms: float) -> float:
+        """Upper bound on how long input read now has been waiting; 0 once the backlog has been read."""
+        return now_ms - self.start_ms if now_ms - self.end_ms <= PAUSE_BACKLOG_MS else 0.0
 
 
-class Sleeper(Protocol):
-    """What waits by a clock."""
+class Waiter(Protocol):
+    """Waits for a time on a clock."""
 
     def wake(self) -> None:
-        """Look at the clock again."""
+        """Wake up to read the clock again."""
 
 
 class Clock(Protocol):
-    """What tells the time and waits by it."""
+    """Source of the current time and of the real time to sleep until a deadline."""
 
-    standstill: Standstill | None  # the last that was found
+    last_pause: ProcessPause | None  # the latest detected
 
     def now_ms(self) -> float: ...
 
-    def watch(self, sleeper: Sleeper) -> None:
-        """Have it woken whenever this clock is moved by hand."""
+    def add_waiter(self, waiter: Waiter) -> None:
+        """Register a waiter to be woken whenever this clock is advanced manually."""
 
-    def find_standstills(self, longest_gap_ms: float) -> None:
-        """Some thread reads this clock at least so often: a longer gap is a standstill of the process."""
+    def detect_pauses(self, max_read_gap_ms: float) -> None:
+        """Treat a longer gap between reads of this clock as a pause; some thread must read it more often."""
 
     def seconds_until(self, deadline_ms: float) -> float | None:
-        """Real seconds to sleep for, None to sleep until woken."""
+        """Real seconds to sleep for; None to sleep until woken."""
 
 
 class SystemClock:
-    """The machine's Unix clock, held where it is when the machine's is set back."""
+    """The system's Unix clock; it stays at its last value while the system clock is behind that."""
 
     def __init__(self) -> None:
         self._last_ms = 0.0
-        self._longest_gap_ms = math.inf
-        self.standstill: Standstill | None = None
+        self._max_read_gap_ms = math.inf
+        self.last_pause: ProcessPause | None = None
 
     def now_ms(self) -> float:
-        # Without a lock, for it is read several times a message: threads that cross here can only leave a
-        # mark that is some microseconds old.
+        # No lock, as this runs several times per message: a race between threads can only leave _last_ms
+        # some microseconds behind.
         now_ms = time.time() * 1000.0
         if now_ms < self._last_ms:
             return self._last_ms
-        if now_ms - self._last_ms > self._longest_gap_ms:
-            self.standstill = Standstill(self._last_ms, now_ms)
+        if now_ms - self._last_ms > self._max_read_gap_ms:
+            self.last_pause = ProcessPause(self._last_ms, now_ms)
         self._last_ms = now_ms
         return now_ms
 
-    def find_standstills(self, longest_gap_ms: float) -> None:
+    def detect_pauses(self, max_read_gap_ms: float) -> None:
         self.now_ms()  # the first gap begins here
-        self._longest_gap_ms = longest_gap_ms
+        self._max_read_gap_ms = max_read_gap_ms
 
-    def watch(self, sleeper: Sleeper) -> None:
-        """Nobody moves this clock by hand."""
+    def add_waiter(self, waiter: Waiter) -> None:
+        """No effect: this clock is never advanced manually."""
 
     def seconds_until(self, deadline_ms: float) -> float | None:
         if deadline_ms == math.inf:
@@ -85,38 +87,38 @@
 
 
 class ManualClock:
-    """A clock that stands still until it is advanced."""
+    """A clock that only moves when it is advanced; for tests."""
 
     def __init__(self, now_ms: float = 1_000_000.0) -> None:
         self._now_ms = now_ms
-        self._watchers: list[Sleeper] = []
-        self.standstill: Standstill | None = None
+        self._waiters: list[Waiter] = []
+        self.last_pause: ProcessPause | None = None
 
     def now_ms(self) -> float:
         return self._now_ms
 
-    def watch(self, sleeper: Sleeper) -> None:
-        self._watchers.append(sleeper)
+    def add_waiter(self, waiter: Waiter) -> None:
+        self._waiters.append(waiter)
 
-    def find_standstills(self, longest_gap_ms: float) -> None:
-        """This clock stands still by itself: who moves it says so."""
+    def detect_pauses(self, max_read_gap_ms: float) -> None:
+        """No effect: a test that simulates a pause sets last_pause."""
 
     def seconds_until(self, deadline_ms: float) -> float | None:
         return 0.0 if deadline_ms <= self._now_ms else None
 
     def advance(self, by_ms: float) -> None:
         self._now_ms += by_ms
-        for sleeper in self._watchers:
-            sleeper.wake()
+        for waiter in self._waiters:
+            waiter.wake()
 
 
 class Inbox(Generic[T]):
-    """The one way into a thread that owns something: any thread puts, the owner takes."""
+    """Event queue of a thread: any thread may put, only the owner takes."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._queue: queue.SimpleQueue[T | None] = queue.SimpleQueue()
-        clock.watch(self)
+        clock.add_waiter(self)
 
     def put(self, item: T) -> None:
         self._queue.put(item)
@@ -128,7 +130,7 @@
         self._queue.put(None)
 
     def take(self, deadline_ms: float) -> T | None:
-        """The next item; None at the deadline, or when woken to look at the clock again."""
+        """Wait for the next item; None at the deadline, or when woken to read the clock again."""
         seconds = self._clock.seconds_until(deadline_ms)
         try:
             return self._queue.get(timeout=seconds) if seconds != 0.0 else self._queue.get_nowait()
--- a/capershelf/core/probes.py
+++ b/capershelf/core/probes.py
@@ -1,4 +1,4 @@
-"""Probes of booking servers that wait for their answer, by the tokens that they carry."""
+"""Pending probes of booking servers, by token."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class Probes:
-    """Gives each probe a token of 16 hex digits; the answer, or its time-out, ends it once."""
+    """Assigns each probe a token of 16 hex digits; its answer or its time-out ends it, whichever is first."""
 
     def __init__(self) -> None:
         self._numbers = itertools.count(1)
-        self._waiting: dict[str, str] = {}
+        self._pending: dict[str, str] = {}
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._pending)
 
     def begin(self, server: str) -> str:
-        """The token of a new probe of this server."""
+        """Register a probe of this server and return its token."""
         token = f"{next(self._numbers):016x}"
-        self._waiting[token] = server
+        self._pending[token] = server
         return token
 
     def end(self, token: str) -> str | None:
-        """The server that was probed; None where the probe is over or was none of ours."""
-        return self._waiting.pop(token, None)
+        """End a probe and return its server; None if it has ended already or is unknown."""
+        return self._pending.pop(token, None)
--- a/capershelf/core/timers.py
+++ b/capershelf/core/timers.py
@@ -1,4 +1,4 @@
-"""What one thread has to do at given times: a heap of timers on the planner's clock (Unix milliseconds)."""
+"""Timers of one thread: a heap ordered by due time on the planner's clock (Unix milliseconds)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Timer:
-    """Something to do at a time.  A cancelled timer lets go of its callback at once, not only when due."""
+    """A callback to run at a given time.  Cancelling drops the callback at once, not only when due."""
 
     __slots__ = ("at_ms", "number", "fire")
 
@@ -23,32 +23,32 @@
 
 
 def _do_nothing() -> None:
-    """What a cancelled timer does."""
+    """Callback of a cancelled timer."""
 
 
 class Timers:
-    """Timers in the order of their times, those of one time in the order of asking."""
+    """Pending timers, ordered by due time and then by creation."""
 
     def __init__(self) -> None:
         self._heap: list[Timer] = []
-        self._last = 0
+        self._last_number = 0
 
     def __len__(self) -> int:
         return len(self._heap)
 
     @property
     def next_ms(self) -> float:
-        """When the earliest is due; infinite without any."""
+        """Due time of the earliest timer; infinite if there is none."""
         return self._heap[0].at_ms if self._heap else math.inf
 
-    def at(self, when_ms: float, fire: Callable[[], None]) -> Timer:
-        """Have this done then."""
-        self._last += 1
-        timer = Timer(when_ms, self._last, fire)
+    def schedule(self, when_ms: float, fire: Callable[[], None]) -> Timer:
+        """Schedule a callback."""
+        self._last_number += 1
+        timer = Timer(when_ms, self._last_number, fire)
         heapq.heappush(self._heap, timer)
         return timer
 
-    def due(self, now_ms: float) -> Iterator[Timer]:
-        """Take out what is due, also what comes to be due meanwhile."""
+    def pop_due(self, now_ms: float) -> Iterator[Timer]:
+        """Remove and yield the due timers, including those scheduled during the iteration."""
         while self.next_ms <= now_ms:
             yield heapq.heappop(self._heap)
--- a/capershelf/fronts/session.py
+++ b/capershelf/fronts/session.py
@@ -310,8 +310,8 @@
         Guards callers from an outcome after they have left: what a set-up has left counts from when it was
         sent, which it does not say.
         """
-        standstill = self._clock.standstill
-        return standstill.unread_ms(now_ms) if standstill is not None else 0.0
+        standstill = self._clock.last_pause
+        return standstill.max_unread_ms(now_ms) if standstill is not None else 0.0
 
     def _set_up(self, message: dict[str, object], now_ms: float) -> None:
         named = vocabulary.call_id(message)
--- a/capershelf/net/poller.py
+++ b/capershelf/net/poller.py
@@ -40,7 +40,7 @@
         os.set_blocking(self._reader, False)
         os.set_blocking(self._writer, False)
         self._poll.register(self._reader, select.POLLIN)
-        clock.watch(self)
+        clock.add_waiter(self)
 
     # -- for any thread -------------------------------------------------------------------------------
     def do(self, what: Callable[[], None]) -> None:
--- a/capershelf/node.py
+++ b/capershelf/node.py
@@ -129,7 +129,7 @@
             for number in range(count)
         ]
         for number, planner in enumerate(self.planners):
-            planner.owed = self._owed
+            planner.pending_set_ups = self._owed
             planner.subset = open_subset(config, planner_settings(config.settings, number, count))
             planner.servers = Links(
                 self.clock,
@@ -138,7 +138,7 @@
                 config.settings.gateway_count,
                 f"links of {planner.name}",
                 links_share(config),
-                planner.idle,
+                planner.is_idle,
             )
         self.memory = open_memory(config, self.clock)
         if self.memory is not None:
@@ -170,9 +170,9 @@
         elif config.board:
             board = Board(config.board, config.known, self.clock, self._news)
             self.sources.append(board)
-            self.clock.find_standstills(FRESH_MS)  # its thread reads the clock more often than this
+            self.clock.detect_pauses(FRESH_MS)  # its thread reads the clock more often than this
             for planner in self.planners:
-                planner.list_gate.fresh = board.fresh
+                planner.list_gate.is_fresh = board.fresh
         else:  # an operator may list the booking servers in the file
             for news in read_notices(config.known, -1)[1]:
                 self._news(news)
@@ -202,7 +202,7 @@
         self._versions += 1
         news = dataclasses.replace(news, version=self._versions)
         for planner in self.planners:
-            planner.tell(news)
+            planner.submit_update(news)
 
     def _every(self, event: m.Event) -> int:
         """Tell all planners; how many there are."""
@@ -253,7 +253,9 @@
 
     def outcomes(self) -> tuple[int, int]:
         """(given, refused or failed) since the start."""
-        return sum(one.calls.given for one in self.planners), sum(one.calls.refused for one in self.planners)
+        return sum(one.calls.outcome_count for one in self.planners), sum(
+            one.calls.rejected_count for one in self.planners
+        )
 
     def reload(self, config: Config) -> None:
         """Take over what a running proxy can: the registry's address, or a list in the file itself."""
@@ -308,7 +310,7 @@
             thread.join()
         if self.memory is not None:
             for planner in self.planners:
-                planner.remember()  # its thread has ended
+                planner.save_learned()  # its thread has ended
             self.memory.close()
         for source in self.sources:
             source.end()
--- a/lab/capacity/traced_proxy.py
+++ b/lab/capacity/traced_proxy.py
@@ -102,7 +102,7 @@
     before(Session, "_message", lambda line: stamps.add_line(Point.SET_UP_READ, SET_UP, line))
     before(Link, "_message", lambda line, epoch: stamps.add_line(Point.ANSWER_READ, ANSWER, line))
     before(Inbox, "put", lambda event: stamps.add_event(Point.SET_UP_QUEUED, Point.ANSWER_QUEUED, event))
-    before(Planner, "take", lambda event: stamps.add_event(Point.SET_UP_TAKEN, Point.ANSWER_TAKEN, event))
+    before(Planner, "handle", lambda event: stamps.add_event(Point.SET_UP_TAKEN, Point.ANSWER_TAKEN, event))
     before(Links, "set_up", lambda server, epoch, request, *_: stamps.add(Point.SET_UP_DECIDED, request.id))
     after(Links, "set_up", lambda server, epoch, request, *_: stamps.add(Point.SET_UP_WRITTEN, request.id))
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -132,11 +132,11 @@
         links.set_up = noted  # type: ignore[method-assign]
         self.node.start()
         self.settle()
-        for server in self.planner._known:
+        for server in self.planner._server_states:
             links.connect(server)  # else each is opened some time later, spread over a fleet's proxies
         self.links = [server.peer() for server in self.servers]
-        self.until(lambda: all(known.epoch is not None for known in self.planner._known.values()))
-        self._epochs = {known.id: known.epoch for known in self.planner._known.values()}
+        self.until(lambda: all(known.epoch is not None for known in self.planner._server_states.values()))
+        self._epochs = {known.id: known.epoch for known in self.planner._server_states.values()}
 
     def again(self, number: int, name: str = "") -> Peer:
         """The next connection to that server, now and not when its pause is over; the planner knows it."""
@@ -149,7 +149,7 @@
         return peer
 
     def _epoch(self, name: str) -> int | None:
-        return known.epoch if (known := self.planner._known.get(name)) is not None else None
+        return known.epoch if (known := self.planner._server_states.get(name)) is not None else None
 
     def caller(self) -> Peer:
         front = self.node.fronts[1 if self.websocket else 0]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -264,10 +264,10 @@
             FakeServers.set_up(servers, server, epoch, request, remaining_ms, gate)
 
         servers.set_up = noted  # type: ignore[method-assign]
-        planner.tell(m.ServerListUpdate(1, True, (m.LocatedServer(listed("s0", 0), "127.0.0.1:1"),)))
+        planner.submit_update(m.ServerListUpdate(1, True, (m.LocatedServer(listed("s0", 0), "127.0.0.1:1"),)))
         planner.inbox.put(m.LinkUp("s0", 1))
         planner.inbox.put(m.ServerReported("s0", api.LoadReport(80.0, 100.0, None, per_s)))
-        planner.tell(
+        planner.submit_update(
             m.ServerListUpdate(
                 2,
                 True,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 from capershelf import interface as api
 from capershelf.core import model as m
 from capershelf.core.clock import ManualClock, SystemClock
-from capershelf.core.planner import LATE_ANSWER_MS, LOST_AFTER_MS, Planner
+from capershelf.core.planner import LATE_ANSWER_MS, DISCONNECT_GRACE_MS, Planner
 from capershelf.net.connection import Connection
 from capershelf.net.framing import Lines
 from tests.peers import PATIENCE_S, Peer, Stage, until
@@ -125,7 +125,7 @@
 
 def test_a_drain_that_is_told_and_not_dealt_with_stops_what_leaves_an_outbox() -> None:
     planner, servers, _, caller = in_outbox()
-    planner.tell(news(3, "s0", api.ServerStatus.DRAINING))  # its planner is at something else
+    planner.submit_update(news(3, "s0", api.ServerStatus.DRAINING))  # its planner is at something else
     servers.read("s0")
     assert not servers.out
     servers.drains.add("s0")
@@ -138,7 +138,7 @@
     started_ms = clock.now_ms() + 50.0
     clock.advance(100.0)
     again = m.LocatedServer(listed("s0", 0, api.ServerStatus.ACTIVE, started_ms), "127.0.0.1:1")
-    planner.tell(m.ServerListUpdate(3, False, (again,)))
+    planner.submit_update(m.ServerListUpdate(3, False, (again,)))
     go_on(planner)
     servers.read("s0")
     assert not [call for call, at in servers.out.items() if at == "s0"]
@@ -211,7 +211,9 @@
     stage.settle()
     found = []
     for number, server in enumerate(stage.servers):
-        stage.planner.servers.probe(f"s{number}", stage.planner._known[f"s{number}"].epoch or 0, "f" * 16)
+        stage.planner.servers.probe(
+            f"s{number}", stage.planner._server_states[f"s{number}"].epoch or 0, "f" * 16
+        )
         while (got := server.hear())["id"] != "f" * 16:
             if got["type"] == "setup":
                 found.append(got["id"])
@@ -231,8 +233,8 @@
             caller.set_up(A)
             until(lambda: stage.node.houses[0].owed == 1)
         elif where == "room":  # both servers drain: it is held
-            for server in stage.planner._known.values():
-                stage.planner.tell(
+            for server in stage.planner._server_states.values():
+                stage.planner.submit_update(
                     m.ServerListUpdate(
                         9,
                         False,
@@ -257,8 +259,8 @@
         leaves(caller, stage)
         if where == "room":  # just now there is room again: the news goes before what is in the inbox
             for number in range(2):
-                server = stage.planner._known[f"s{number}"]
-                stage.planner.tell(
+                server = stage.planner._server_states[f"s{number}"]
+                stage.planner.submit_update(
                     m.ServerListUpdate(
                         10 + number, False, (m.LocatedServer(listed(server.id, number), server.endpoint),)
                     )
@@ -283,7 +285,7 @@
     try:
         for link in stage.links:
             link.leave()
-        stage.until(lambda: all(known.epoch is None for known in stage.planner._known.values()))
+        stage.until(lambda: all(known.epoch is None for known in stage.planner._server_states.values()))
         links = stage.planner.servers
         wake, links.connect = links.connect, lambda server: ""  # type: ignore[method-assign]
         caller = stage.caller()
@@ -300,7 +302,7 @@
             links.connect(f"s{number}")
             stage.servers[number].peer()
         held.let_go_on()
-        stage.until(lambda: all(known.epoch is not None for known in stage.planner._known.values()))
+        stage.until(lambda: all(known.epoch is not None for known in stage.planner._server_states.values()))
         assert setups(stage) == [] and not stage.attempts
         assert int(A, 16) not in stage.planner.calls.by_key
     finally:
@@ -385,7 +387,7 @@
 def out_again(result: api.Result, cause: int) -> tuple[Planner, FakeServers, Any]:
     """A call whose first attempt has ended, at the only server."""
     planner, servers, clock = planner_with()
-    planner.tell(
+    planner.submit_update(
         m.ServerListUpdate(
             3, False, (m.LocatedServer(listed("s1", 1, api.ServerStatus.REMOVED), "127.0.0.1:2"),)
         )
@@ -417,7 +419,7 @@
 
 def test_an_answer_on_a_connection_that_was_replaced_is_not_the_next_attempts() -> None:
     planner, servers, clock = planner_with()
-    planner.tell(
+    planner.submit_update(
         m.ServerListUpdate(
             3, False, (m.LocatedServer(listed("s1", 1, api.ServerStatus.REMOVED), "127.0.0.1:2"),)
         )
@@ -478,12 +480,12 @@
     go_on(planner)
     assert not servers.standing
     # One that stays away for so long that its calls count as cut is told nothing of them later.
-    planner._known["s0"].pending_releases["x"] = m.CAUSE_NORMAL
+    planner._server_states["s0"].pending_releases["x"] = m.CAUSE_NORMAL
     planner.inbox.put(m.LinkDown("s0", 2))
     go_on(planner)
-    clock.advance(LOST_AFTER_MS)
+    clock.advance(DISCONNECT_GRACE_MS)
     go_on(planner)
-    assert not planner._known["s0"].pending_releases
+    assert not planner._server_states["s0"].pending_releases
 
 
 def test_one_action_that_can_not_be_carried_out_does_not_cost_those_after_it(
@@ -493,7 +495,7 @@
     send = api.Send(77, "s0", 100.0)  # of a call that is not here
     monkeypatch.setattr(planner._controller, "handle", lambda now_ms, event: [send, api.SetTimer(5.0, "x")])
     before = len(planner._timers)
-    planner._feed(api.TimerFired("tick"))
+    planner._notify_controller(api.TimerFired("tick"))
     assert len(planner._timers) == before + 1 and not servers.out
 
 
@@ -544,7 +546,7 @@
     )
     planner = Planner(terms, 1, clock, 500.0)
     planner.servers = servers = Unruled(clock)
-    planner.tell(news(1, "s0", api.ServerStatus.ACTIVE))
+    planner.submit_update(news(1, "s0", api.ServerStatus.ACTIVE))
     planner.inbox.put(m.LinkUp("s0", 1))
     asked = m.SetUp("00000000000000aa", name, clock.now_ms() + 90_000.0, "n", "sdp", 0)
     planner.inbox.put(m.SetUpReceived(asked, caller))
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -93,8 +93,8 @@
         planner, module = self.planner, self.planner._controller
         return (
             len(planner.calls.by_key)
-            + len(planner.calls.unheard)
-            + len(planner._known)
+            + len(planner.calls.undelivered_ends)
+            + len(planner._server_states)
             + len(planner._probes)
             + len(planner._timers)
             + len(module.gates)
@@ -102,7 +102,7 @@
             + len(module.held)
             + len(module.first_asked)
             + len(module.busy_until)
-            + sum(len(s.calls) for s in planner._known.values())
+            + sum(len(s.calls) for s in planner._server_states.values())
             + sum(
                 len(gate.errors) + len(gate.out) + len(gate.answered_at) + len(gate.tokens)
                 for gate in module.gates.values()
@@ -133,10 +133,10 @@
     planner, module = day.planner, day.planner._controller
     day.time_passes(12)
     assert len(module.gates) <= 3
-    assert len(planner._known) <= 3
+    assert len(planner._server_states) <= 3
     assert not module.calls
     assert not module.held
-    assert not planner.calls.unheard
+    assert not planner.calls.undelivered_ends
     assert len(planner._timers) <= 20
     gc.collect()
     alive = sum(1 for caller in day.seen if caller() is not None)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -168,7 +168,7 @@
             link.say("answer", A, sdp="v=0")
         if state == "ended":
             link.say("release", A, cause=16)
-            stage.until(lambda: bool(stage.planner.calls.unheard))
+            stage.until(lambda: bool(stage.planner.calls.undelivered_ends))
         elif state != "out":
             stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].undelivered is not None)
         sent = len(stage.attempts)
@@ -358,8 +358,8 @@
     assert outcome(caller.hear())[:3] == ("release", A, 41)
     assert stage.links[0].closed.wait(PATIENCE_S)
     stage.links[0] = stage.again(0, "new")
-    stage.until(lambda: stage.planner._known["new"].epoch is not None)
-    assert "s0" not in stage.planner._known
+    stage.until(lambda: stage.planner._server_states["new"].epoch is not None)
+    assert "s0" not in stage.planner._server_states
     assert stage.planner.calls.by_key[int(B, 16)].attempt is None
     stage.advance(300)
     assert stage.attempts[-1][1:3] in ((B, "new"), (B, "s1"))
@@ -379,7 +379,7 @@
     assert outcome(caller.hear())[:2] == ("answer", A)
     stage.links[0].leave()
     stage.links[0] = stage.again(0)  # the address never stopped taking connections
-    stage.until(lambda: stage.planner._known["s0"].epoch is not None)
+    stage.until(lambda: stage.planner._server_states["s0"].epoch is not None)
     if told == "on the next connection":
         stage.links[0].say("release", A, cause=16)
         assert outcome(caller.hear())[:3] == ("release", A, 16)
@@ -391,7 +391,7 @@
         assert outcome(caller.hear())[:3] == ("release", A, 41)
     stage.links[0] = stage.again(0, "new")
     stage.links[0].say("release", A, cause=16)  # told once more: nobody hears of it twice
-    stage.until(lambda: stage.planner._known["new"].epoch is not None)
+    stage.until(lambda: stage.planner._server_states["new"].epoch is not None)
     stage.settle()
     caller.say("ping", B, cause=0)
     assert caller.hear()["type"] == "pong"
@@ -568,7 +568,7 @@
     thread = next(t for t in stage.node._threads if t.name == stage.planner.name)
     thread.join(PATIENCE_S)
     assert not thread.is_alive()
-    assert stage.planner.calls.unheard
+    assert stage.planner.calls.undelivered_ends
 
 
 def test_planners_take_slots_of_their_own_and_each_call_has_one_planner() -> None:
@@ -593,14 +593,14 @@
 def test_a_server_that_moves_keeps_its_calls_apart_from_its_old_link(stage: Stage) -> None:
     """Guards the new connection from being taken for broken when the old one's end is told after it."""
     caller, moved = stage.caller(), BookingServer(stage.websocket)
-    old = stage.planner._known["s0"].epoch
+    old = stage.planner._server_states["s0"].epoch
     listed = ListedServer("s0", 0, ServerStatus.ACTIVE)
     stage.planner.inbox.put(m.ServerListUpdate(2, False, (m.LocatedServer(listed, moved.endpoint),)))
     stage.settle()
     stage.planner.servers.connect("s0")
     link = moved.peer()
     assert stage.links[0].closed.wait(PATIENCE_S)
-    stage.until(lambda: stage.planner._known["s0"].epoch not in (None, old))
+    stage.until(lambda: stage.planner._server_states["s0"].epoch not in (None, old))
     stage.planner.inbox.put(m.LinkDown("s0", old))
     caller.set_up(A)
     assert moved.hear()["id"] == A
--- a/tests/test_planner_parts.py
+++ b/tests/test_planner_parts.py
@@ -7,7 +7,7 @@
 from capershelf.core import model as m
 from capershelf.core.call_table import CallTable
 from capershelf.core.clock import ManualClock
-from capershelf.core.list_gate import LIST_MS, LOOK_MS, PASSES_MS, ListGate
+from capershelf.core.list_gate import MAX_WAIT_MS, CHECK_INTERVAL_MS, BYPASS_MS, ListGate
 from capershelf.core.probes import Probes
 from capershelf.core.timers import Timers
 
@@ -38,23 +38,26 @@
 def test_an_outcome_is_given_once() -> None:
     table = CallTable()
     call = table.add(request(), FakeCaller())
-    assert (table.open_count, table.given, table.all_over()) == (1, 0, False)
-    assert table.latch(call)
-    assert not table.latch(call)
-    assert (table.open_count, table.given, table.all_over()) == (0, 1, True)
+    assert (table.open_count, table.outcome_count, table.all_ended()) == (1, 0, False)
+    assert table.claim_outcome(call)
+    assert not table.claim_outcome(call)
+    assert (table.open_count, table.outcome_count, table.all_ended()) == (0, 1, True)
 
 
 def test_calls_are_found_by_id_state_and_caller() -> None:
     table, caller = CallTable(), FakeCaller()
     call, other = table.add(request(), caller), table.add(request(OTHER), FakeCaller())
     assert table.find(CALL) is call and table.find("f" * 16) is None
-    table.latch(other)
-    assert table.open() == [call] and table.of(caller) == [call]
+    table.claim_outcome(other)
+    assert table.open_calls() == [call] and table.for_caller(caller) == [call]
 
 
 def test_a_call_that_was_given_up_rests_before_it_comes_again() -> None:
     table = CallTable()
-    first, second = table.rest(int(CALL, 16), 1200.0), table.rest(int(CALL, 16), 1500.0)
+    first, second = (
+        table.start_release_gap(int(CALL, 16), 1200.0),
+        table.start_release_gap(int(CALL, 16), 1500.0),
+    )
     first()  # the later rest holds
     assert table.add(request(), FakeCaller()).not_before_ms == 1500.0
     second()
@@ -64,23 +67,23 @@
 def test_forgetting_a_call_leaves_another_of_its_key() -> None:
     table, timers = CallTable(), Timers()
     call = table.add(request(), FakeCaller())
-    table.latch(call)
+    table.claim_outcome(call)
     fired: list[int] = []
-    table.keep(call, m.Refused(CALL), timers.at(5.0, lambda: fired.append(1)))
+    table.retain_undelivered(call, m.Refused(CALL), timers.schedule(5.0, lambda: fired.append(1)))
     call.lost_caller_host = "127.0.0.1"
-    table.unheard[call.request.key] = call
-    assert table.unheard_of("127.0.0.1") == [call] and table.unheard_of("127.0.0.2") == []
+    table.undelivered_ends[call.request.key] = call
+    assert table.undelivered_ends_for("127.0.0.1") == [call] and table.undelivered_ends_for("127.0.0.2") == []
     newer = table.add(request(), FakeCaller())
-    table.forget(call)
-    assert table.find(CALL) is newer and not table.unheard
-    for timer in timers.due(10.0):
+    table.remove(call)
+    assert table.find(CALL) is newer and not table.undelivered_ends
+    for timer in timers.pop_due(10.0):
         timer.fire()
     assert fired == [], "its timer is cancelled"
 
 
 def test_where_an_attempt_was_reset_is_known_until_it_is_heard_out() -> None:
     table = CallTable()
-    heard_out = table.note_reset(int(CALL, 16), "s0")
+    heard_out = table.record_reset(int(CALL, 16), "s0")
     assert table.was_reset_at(CALL, "s0") and not table.was_reset_at(CALL, "s1")
     heard_out()
     assert not table.was_reset_at(CALL, "s0")
@@ -102,41 +105,41 @@
         self.clock, self.timers = ManualClock(0.0), Timers()
         self.fresh, self.news = False, False
         self.released: list[float] = []
-        self.gate = ListGate(self.clock, self.timers.at, lambda: self.news, self.released.append)
-        self.gate.fresh = lambda: self.fresh
+        self.gate = ListGate(self.clock, self.timers.schedule, lambda: self.news, self.released.append)
+        self.gate.is_fresh = lambda: self.fresh
 
     def advance(self, by_ms: float) -> None:
         until_ms = self.clock.now_ms() + by_ms
         while self.clock.now_ms() < until_ms:
-            self.clock.advance(LOOK_MS)
-            for timer in self.timers.due(self.clock.now_ms()):
+            self.clock.advance(CHECK_INTERVAL_MS)
+            for timer in self.timers.pop_due(self.clock.now_ms()):
                 timer.fire()
 
 
 def test_set_ups_wait_for_a_list_that_is_not_fresh_and_go_once_it_is() -> None:
     one = Waiting()
-    assert one.gate.holds() and one.gate.holds()
+    assert one.gate.must_wait() and one.gate.must_wait()
     assert len(one.timers) == 1, "it is looked for once for all that wait"
     one.fresh = True
-    one.advance(LOOK_MS)
-    assert one.released == [LOOK_MS] and not one.gate.holds()
+    one.advance(CHECK_INTERVAL_MS)
+    assert one.released == [CHECK_INTERVAL_MS] and not one.gate.must_wait()
 
 
 def test_news_that_is_not_dealt_with_holds_whatever_the_time() -> None:
     one = Waiting()
     one.fresh = one.news = True
-    assert one.gate.holds()
-    one.advance(2.0 * LIST_MS)
+    assert one.gate.must_wait()
+    one.advance(2.0 * MAX_WAIT_MS)
     assert one.released == []
     one.news = False
-    one.advance(LOOK_MS)
+    one.advance(CHECK_INTERVAL_MS)
     assert len(one.released) == 1
 
 
 def test_a_list_that_stays_away_stops_no_call() -> None:
     one = Waiting()
-    assert one.gate.holds()
-    one.advance(LIST_MS)
-    assert one.released == [LIST_MS] and not one.gate.holds()
-    one.advance(PASSES_MS)
-    assert one.gate.holds(), "it is looked for again after a while"
+    assert one.gate.must_wait()
+    one.advance(MAX_WAIT_MS)
+    assert one.released == [MAX_WAIT_MS] and not one.gate.must_wait()
+    one.advance(BYPASS_MS)
+    assert one.gate.must_wait(), "it is looked for again after a while"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -226,11 +226,11 @@
     planner = node.planners[0]
     while not planner.inbox.empty():
         planner.step()
-    assert not planner._known["s0"].removed
+    assert not planner._server_states["s0"].removed
     node.reload(configuration.read(first | {"known": listing(2, "removed"), "planners": 2}, {}))
     while not planner.inbox.empty():
         planner.step()
-    assert planner._known["s0"].removed
+    assert planner._server_states["s0"].removed
     assert node.config.planners == 1
     node.reload(configuration.read(first | {"board": "127.0.0.1:9"}, {}))
     assert node.config.board == ""
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -9,7 +9,7 @@
 
 from capershelf import config as configuration
 from capershelf.core import clock as clocks
-from capershelf.core.clock import BACKLOG_MS, Standstill, SystemClock
+from capershelf.core.clock import PAUSE_BACKLOG_MS, ProcessPause, SystemClock
 from capershelf.fronts.session import LEAST_LEFT_MS
 from capershelf.node import Node
 from capershelf.registry.board import FRESH_MS
@@ -38,14 +38,14 @@
 
 def test_a_gap_longer_than_any_threads_wait_is_a_standstill(machine: MachineTime) -> None:
     clock = SystemClock()
-    clock.find_standstills(FRESH_MS)
+    clock.detect_pauses(FRESH_MS)
     machine.now_s += FRESH_MS / 1000.0
     clock.now_ms()
-    assert clock.standstill is None
+    assert clock.last_pause is None
     began_ms = clock.now_ms()
     machine.now_s += STOOD_MS / 1000.0
     assert clock.now_ms() == began_ms + STOOD_MS
-    assert clock.standstill == Standstill(began_ms, began_ms + STOOD_MS)
+    assert clock.last_pause == ProcessPause(began_ms, began_ms + STOOD_MS)
 
 
 def test_a_clock_that_need_not_be_read_often_finds_none(machine: MachineTime) -> None:
@@ -53,14 +53,14 @@
     clock.now_ms()
     machine.now_s += 3600.0
     clock.now_ms()
-    assert clock.standstill is None
+    assert clock.last_pause is None
 
 
 def test_what_is_read_after_the_backlog_has_not_lain_unread() -> None:
-    found = Standstill(1000.0, 4000.0)
-    assert found.unread_ms(4000.0) == 3000.0
-    assert found.unread_ms(4000.0 + BACKLOG_MS) == 3000.0 + BACKLOG_MS
-    assert found.unread_ms(4001.0 + BACKLOG_MS) == 0.0
+    found = ProcessPause(1000.0, 4000.0)
+    assert found.max_unread_ms(4000.0) == 3000.0
+    assert found.max_unread_ms(4000.0 + PAUSE_BACKLOG_MS) == 3000.0 + PAUSE_BACKLOG_MS
+    assert found.max_unread_ms(4001.0 + PAUSE_BACKLOG_MS) == 0.0
 
 
 @pytest.fixture(params=[False, True], ids=["lines", "websocket"])
@@ -82,7 +82,7 @@
     """Sent as the standstill began, it has 3 s less than it says; its booking server says nothing."""
     caller = stage.caller()
     now_ms = stage.clock.now_ms()
-    stage.clock.standstill = Standstill(now_ms - STOOD_MS, now_ms)
+    stage.clock.last_pause = ProcessPause(now_ms - STOOD_MS, now_ms)
     assert time_given(stage, caller, A, 4000) <= 4000.0 - STOOD_MS
     assert time_given(stage, caller, B, 2250) <= LEAST_LEFT_MS
     stage.advance(LEAST_LEFT_MS)
@@ -94,8 +94,8 @@
 def test_a_set_up_has_its_whole_time_once_the_backlog_is_read(stage: Stage) -> None:
     caller = stage.caller()
     now_ms = stage.clock.now_ms()
-    stage.clock.standstill = Standstill(now_ms - STOOD_MS, now_ms)
-    stage.advance(BACKLOG_MS + 5.0)
+    stage.clock.last_pause = ProcessPause(now_ms - STOOD_MS, now_ms)
+    stage.advance(PAUSE_BACKLOG_MS + 5.0)
     assert time_given(stage, caller, A, 4000) > 4000.0 - STOOD_MS
 
 
@@ -106,8 +106,8 @@
         super().__init__()
         self.gaps_ms: list[float] = []
 
-    def find_standstills(self, longest_gap_ms: float) -> None:
-        self.gaps_ms.append(longest_gap_ms)
+    def detect_pauses(self, max_read_gap_ms: float) -> None:
+        self.gaps_ms.append(max_read_gap_ms)
 
 
 @pytest.mark.parametrize(("board", "gaps_ms"), [("127.0.0.1:9", [FRESH_MS]), ("", [])])
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -37,8 +37,8 @@
     clock = ManualClock()
     planner = Planner(SETTINGS, 1, clock, 500.0)
     planner.servers = servers = FakeServers(clock)
-    planner.tell(news(1, "s0", standing))
-    planner.tell(news(2, "s1", api.ServerStatus.ACTIVE))
+    planner.submit_update(news(1, "s0", standing))
+    planner.submit_update(news(2, "s1", api.ServerStatus.ACTIVE))
     for server in ("s0", "s1"):
         planner.inbox.put(m.LinkUp(server, 1))
     go_on(planner)
@@ -66,7 +66,7 @@
     for number in range(1, 4):
         planner.inbox.put(m.SetUpReceived(request(number), FakeCaller(False)))
     servers.drains.add("s0")  # from here on the stand-in takes a set-up there for a broken rule
-    planner.tell(news(3, "s0", api.ServerStatus.DRAINING))
+    planner.submit_update(news(3, "s0", api.ServerStatus.DRAINING))
     go_on(planner)
     assert set(servers.out.values()) == {"s1"}
 
@@ -78,7 +78,7 @@
     go_on(planner)
     assert not servers.out
     servers.drains.add("s0")
-    planner.tell(news(3, "s0", api.ServerStatus.DRAINING))
+    planner.submit_update(news(3, "s0", api.ServerStatus.DRAINING))
     planner.inbox.put(m.LinkUp("s0", 2))
     go_on(planner)
     assert list(servers.out.values()) == ["s1"]
@@ -87,7 +87,7 @@
 def test_a_planner_told_to_stop_waits_for_a_set_up_that_is_on_its_way_to_it() -> None:
     planner, _, clock = planner_with()
     owed, caller = 1, FakeCaller(False)
-    planner.owed = lambda: owed
+    planner.pending_set_ups = lambda: owed
     planner.inbox.put(m.Stop(clock.now_ms() + 9000.0, clock.now_ms() + 3000.0))
     go_on(planner)
     assert not planner.finished()
@@ -260,12 +260,12 @@
 def test_a_process_that_stood_still_sends_nothing_before_it_knows_what_the_list_has_told() -> None:
     planner, servers, clock = planner_with()
     fresh = False
-    planner.list_gate.fresh = lambda: fresh
+    planner.list_gate.is_fresh = lambda: fresh
     planner.inbox.put(m.SetUpReceived(request(1), FakeCaller(False)))
     go_on(planner)
     assert not servers.out
     servers.drains.add("s0")  # told while the process stood still, and read only now
-    planner.tell(news(3, "s0", api.ServerStatus.DRAINING))
+    planner.submit_update(news(3, "s0", api.ServerStatus.DRAINING))
     fresh = True
     clock.advance(5.0)
     go_on(planner)
@@ -279,7 +279,7 @@
     def fresh() -> bool:  # the registry's thread tells it at this very moment
         if len(told) < 1:
             told.append(1)
-            planner.tell(news(3, "s0", api.ServerStatus.DRAINING))
+            planner.submit_update(news(3, "s0", api.ServerStatus.DRAINING))
         return True
 
     told: list[int] = []
@@ -289,7 +289,7 @@
         asked.append(1)
         return fresh()
 
-    planner.list_gate.fresh = counted
+    planner.list_gate.is_fresh = counted
     for number in range(1, 9):  # in one event: the last of them finds seven others that wait
         planner.inbox.put(m.SetUpReceived(request(number), FakeCaller(False)))
     planner.step()
@@ -303,7 +303,7 @@
 
 def test_a_list_that_stays_away_holds_set_ups_for_a_moment_only_and_not_each_of_them() -> None:
     planner, servers, clock = planner_with()
-    planner.list_gate.fresh = lambda: False
+    planner.list_gate.is_fresh = lambda: False
     planner.inbox.put(m.SetUpReceived(request(1), FakeCaller(False)))
     go_on(planner)
     for _ in range(61):
@@ -327,7 +327,7 @@
         clock.advance(1000.0)
     # Its machine was cut off and is back: no connect was refused, and the new process knows of neither.
     again = m.LocatedServer(listed("s0", 0, api.ServerStatus.ACTIVE, 1_000_500.0), "127.0.0.1:1")
-    planner.tell(m.ServerListUpdate(3, False, (again,)))
+    planner.submit_update(m.ServerListUpdate(3, False, (again,)))
     go_on(planner)
     assert callers[0].heard[1:] == [m.Ended(request(1).id, m.CAUSE_INTERRUPTED)]
     assert not callers[1].heard[1:]
--- a/tests/test_stream_running.py
+++ b/tests/test_stream_running.py
@@ -265,7 +265,10 @@
     planner = proxy.node.planners[0]
     pause = threading.Event()
     for _ in range(400):  # until slots that lie wholly after the take-over have enough of them
-        planner.calls.given, planner.calls.refused = planner.calls.given + 5, planner.calls.refused + 5
+        planner.calls.outcome_count, planner.calls.rejected_count = (
+            planner.calls.outcome_count + 5,
+            planner.calls.rejected_count + 5,
+        )
         if pause.wait(0.05) or service.proxy().get("back"):
             break
     until(lambda: service.proxy().get("back"))
--- a/tests/test_subset_running.py
+++ b/tests/test_subset_running.py
@@ -90,15 +90,15 @@
     for planner in node.planners:
         while not planner.inbox.empty():
             planner.step()
-    assert len(first._known) == len(second._known) == SIZE
-    assert set(first._known) != set(second._known)
+    assert len(first._server_states) == len(second._server_states) == SIZE
+    assert set(first._server_states) != set(second._server_states)
     off = Node(configuration.read(table(), {}), ManualClock())
     assert off.planners[0].subset is None
     while not off.planners[0].inbox.empty():
         off.planners[0].step()
-    assert len(off.planners[0]._known) == SERVERS
+    assert len(off.planners[0]._server_states) == SERVERS
     for planner in (first, second, off.planners[0]):
-        for server in list(planner._known):
+        for server in list(planner._server_states):
             planner.servers.close(server)
 
 
@@ -126,11 +126,11 @@
 
     @property
     def members(self) -> list[str]:
-        return sorted(one.id for one in self.planner._known.values() if not one.draining)
+        return sorted(one.id for one in self.planner._server_states.values() if not one.draining)
 
     def list(self, *servers: m.LocatedServer, whole: bool = False) -> None:
         self.version += 1
-        self.planner.tell(m.ServerListUpdate(self.version, whole, servers))
+        self.planner.submit_update(m.ServerListUpdate(self.version, whole, servers))
         self.settle()
 
     def settle(self) -> None:
@@ -167,7 +167,7 @@
 
 def test_links_are_held_for_members_only() -> None:
     rig = Rig()
-    assert len(rig.planner._known) == len(rig.members) == SIZE
+    assert len(rig.planner._server_states) == len(rig.members) == SIZE
 
 
 def test_a_member_that_drains_is_replaced_and_gets_nothing_new() -> None:
@@ -192,7 +192,7 @@
     (substitute,) = set(rig.members) - before
     rig.up(substitute)
     for other in before - {lost}:  # so that the substitute is asked
-        rig.put(m.LinkDown(other, rig.planner._known[other].epoch))
+        rig.put(m.LinkDown(other, rig.planner._server_states[other].epoch))
     caller = rig.call(1, int(substitute[1:]))
     assert rig.servers.out == {f"{1:016x}": substitute}
     rig.servers.ended(f"{1:016x}", False)
@@ -201,7 +201,7 @@
     for server in before:
         rig.up(server)
     rig.advance(7000.0)
-    assert rig.planner._known[substitute].draining, "it is not wanted any more"
+    assert rig.planner._server_states[substitute].draining, "it is not wanted any more"
     assert set(rig.members) == before
     rig.advance(3000.0)
     assert [type(word) for word in caller.heard] == [m.Answered], "and the call stands on"
@@ -212,7 +212,7 @@
     )
     assert [type(word) for word in caller.heard] == [m.Answered, m.Ended]
     rig.advance(2000.0)
-    assert substitute not in rig.planner._known, "no link is held for it"
+    assert substitute not in rig.planner._server_states, "no link is held for it"
     assert len(caller.heard) == 2
 
 
@@ -222,7 +222,7 @@
     caller = rig.call(1, 0)
     first = rig.servers.out.pop(f"{1:016x}")
     for server in before:
-        rig.put(m.LinkDown(server, rig.planner._known[server].epoch, refused=True))
+        rig.put(m.LinkDown(server, rig.planner._server_states[server].epoch, refused=True))
     rig.advance(225.0)
     substitutes = set(rig.members) - before
     assert len(substitutes) >= SIZE
