--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""What crosses a set-up on its way out: the gate at its first byte, each crossing forced at its exact line.
+"""Races between sending a set-up and events that invalidate it.
 
-docs/crossings.md lists them; none is brought about by a sleep.
+Each race is forced at its exact point in the code rather than with a sleep; docs/crossings.md lists them.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 import pytest
 
-from capershelf import interface as api
-from capershelf.core import model as m
+from capershelf import interface
+from capershelf.core import model
 from capershelf.core.clock import ManualClock, SystemClock
 from capershelf.core.planner import LATE_ANSWER_MS, DISCONNECT_GRACE_MS, Planner
 from capershelf.net.connection import Connection
@@ -23,160 +23,161 @@
 from tests.rig import listed, settings
 from tests.test_planner_states import FakeCaller, FakeServers
 from tests.test_stopping import (
-    go_on,
-    lines_of,
-    news,
-    planner_with,
-    read_until_half_written,
+    blocked_connection,
+    list_update,
+    make_planner,
+    read_until_partly_written,
+    received_lines,
     request,
-    slow_pair,
+    run_pending,
 )
 
 A = "00000000000000a0"
 RELEASE_MS = 200.0
 
 
-class Gate:
-    """A gate that a test opens and shuts; notes when it was asked."""
+class FakeGate:
+    """A write gate controlled by the test; counts checks and drops."""
 
-    def __init__(self, opens: bool = True) -> None:
-        self.opens, self.asked, self.drops = opens, 0, 0
+    def __init__(self, is_open: bool = True) -> None:
+        self.is_open, self.checks, self.drops = is_open, 0, 0
 
     def may_write(self) -> bool:
-        self.asked += 1
-        return self.opens
+        self.checks += 1
+        return self.is_open
 
     def on_dropped(self) -> None:
         self.drops += 1
 
 
-# -- the connection asks at the first byte, and only there --------------------------------------------
+# -- the connection checks the gate at the first byte only --------------------------------------------
 
 
-def test_a_gate_is_asked_at_the_first_byte_and_a_dropped_message_is_never_written() -> None:
-    connection, far, said = slow_pair()
-    shut, open_, turned = Gate(False), Gate(), Gate()
-    for name, gate in (("shut", shut), ("open", open_), ("turned", turned)):
+def test_a_gate_is_checked_only_at_the_first_byte_and_a_dropped_message_is_never_written() -> None:
+    connection, far, queued = blocked_connection()
+    closed, open_, closed_later = FakeGate(False), FakeGate(), FakeGate()
+    for name, gate in (("closed", closed), ("open", open_), ("closed_later", closed_later)):
         assert connection.post(name.encode(), name, gate)
-    assert shut.asked == open_.asked == turned.asked == 0, "asked before it can be written"
-    turned.opens = False  # its caller leaves while it waits in the outbox
+    assert closed.checks == open_.checks == closed_later.checks == 0, "checked before it can be written"
+    closed_later.is_open = False  # as if its caller left while it is in the write queue
     connection.finish()
-    assert lines_of(far) == [*said, "open", ""]
-    assert (shut.drops, open_.drops, turned.drops) == (1, 0, 1)
-    assert open_.asked == 1, "a message that has begun is not asked for again"
+    assert received_lines(far) == [*queued, "open", ""]
+    assert (closed.drops, open_.drops, closed_later.drops) == (1, 0, 1)
+    assert open_.checks == 1, "a message that has begun is not checked again"
 
 
-def test_a_message_that_is_half_written_is_not_dropped_by_its_gate() -> None:
-    connection, far, said = slow_pair()
-    gate = Gate()
+def test_a_partly_written_message_is_not_dropped_by_its_gate() -> None:
+    connection, far, queued = blocked_connection()
+    gate = FakeGate()
     assert connection.post(b"y" * 40_000, "a", gate)
-    read_until_half_written(connection, far)
-    gate.opens = False  # a rest that never comes would spoil what follows
+    read_until_partly_written(connection, far)
+    gate.is_open = False  # dropping the rest would corrupt the stream
     assert connection.post(b"next")
     connection.finish()
-    assert lines_of(far)[-2:] == ["next", ""]
+    assert received_lines(far)[-2:] == ["next", ""]
     assert gate.drops == 0
 
 
-def test_a_message_with_a_shut_gate_is_not_written_where_nothing_waits_before_it() -> None:
+def test_a_message_with_a_closed_gate_is_not_written_when_the_write_queue_is_empty() -> None:
     near, far = socket.socketpair()
     connection = Connection(near, Lines(), lambda line: None, lambda: None, "x", SystemClock(), math.inf)
     connection.start()
-    gate = Gate(False)
+    gate = FakeGate(False)
     assert connection.post(b"no", "a", gate)
     assert connection.post(b"yes")
     connection.finish()
-    assert lines_of(far) == ["yes", ""] and gate.drops == 1
+    assert received_lines(far) == ["yes", ""] and gate.drops == 1
 
 
-# -- the planner's gate: each thing that may have changed since the module decided ---------------------
+# -- the planner's gate: everything that may have changed since the controller decided -----------------
 
 
-class Departed(FakeCaller):
-    """A caller that has hung up, which no event has told yet."""
+class DisconnectableCaller(FakeCaller):
+    """A caller that can disconnect before the planner receives an event for it."""
 
     def __init__(self) -> None:
         super().__init__(False)
-        self.here = True
+        self.is_connected = True
 
     def is_waiting(self, call_id: str) -> bool:
-        return self.here
+        return self.is_connected
 
 
-def in_outbox() -> tuple[Planner, FakeServers, Any, Departed]:
-    """A call whose set-up waits in the outbox of a connection that is read slowly."""
-    planner, servers, clock = planner_with()
-    servers.slow.add("s0")
-    caller = Departed()
-    planner.inbox.put(m.SetUpReceived(request(1), caller))
-    go_on(planner)
-    assert servers.waiting == {request(1).id: "s0"}
+def queued_set_up() -> tuple[Planner, FakeServers, Any, DisconnectableCaller]:
+    """A call whose set-up is in the write queue of a connection that is not being read."""
+    planner, servers, clock = make_planner()
+    servers.not_reading.add("s0")
+    caller = DisconnectableCaller()
+    planner.inbox.put(model.SetUpReceived(request(1), caller))
+    run_pending(planner)
+    assert servers.queued == {request(1).id: "s0"}
     return planner, servers, clock, caller
 
 
-def test_a_caller_that_left_unheard_is_seen_where_its_call_leaves_the_outbox() -> None:
-    planner, servers, _, caller = in_outbox()
-    caller.here = False
-    servers.read("s0")
-    assert not servers.out
-    go_on(planner)
-    assert not planner.calls.by_key and planner.calls.open_count == 0 and not caller.heard
+def test_a_caller_that_left_is_noticed_before_its_queued_set_up_is_written() -> None:
+    planner, servers, _, caller = queued_set_up()
+    caller.is_connected = False
+    servers.flush("s0")
+    assert not servers.in_flight
+    run_pending(planner)
+    assert not planner.calls.by_key and planner.calls.open_count == 0 and not caller.received
 
 
-def test_a_drain_that_is_told_and_not_dealt_with_stops_what_leaves_an_outbox() -> None:
-    planner, servers, _, caller = in_outbox()
-    planner.submit_update(news(3, "s0", api.ServerStatus.DRAINING))  # its planner is at something else
-    servers.read("s0")
-    assert not servers.out
-    servers.drains.add("s0")
-    go_on(planner)
-    assert list(servers.out.values()) == ["s1"] and not caller.heard
+def test_a_pending_drain_update_keeps_a_queued_set_up_from_being_written() -> None:
+    planner, servers, _, caller = queued_set_up()
+    # Not handled yet: the planner is busy.
+    planner.submit_update(list_update(3, "s0", interface.ServerStatus.DRAINING))
+    servers.flush("s0")
+    assert not servers.in_flight
+    servers.draining.add("s0")
+    run_pending(planner)
+    assert list(servers.in_flight.values()) == ["s1"] and not caller.received
 
 
-def test_a_set_up_meant_for_a_process_that_was_replaced_does_not_leave_the_outbox() -> None:
-    planner, servers, clock, _ = in_outbox()
+def test_a_queued_set_up_for_a_restarted_server_process_is_not_written() -> None:
+    planner, servers, clock, _ = queued_set_up()
     started_ms = clock.now_ms() + 50.0
     clock.advance(100.0)
-    again = m.LocatedServer(listed("s0", 0, api.ServerStatus.ACTIVE, started_ms), "127.0.0.1:1")
-    planner.submit_update(m.ServerListUpdate(3, False, (again,)))
-    go_on(planner)
-    servers.read("s0")
-    assert not [call for call, at in servers.out.items() if at == "s0"]
+    restarted = model.LocatedServer(listed("s0", 0, interface.ServerStatus.ACTIVE, started_ms), "127.0.0.1:1")
+    planner.submit_update(model.ServerListUpdate(3, False, (restarted,)))
+    run_pending(planner)
+    servers.flush("s0")
+    assert not [call for call, at in servers.in_flight.items() if at == "s0"]
 
 
 @pytest.mark.parametrize("by_ms", [1499.0, 5000.0], ids=["in time", "late"])
-def test_a_set_up_begins_only_before_its_time_out(by_ms: float) -> None:
-    """Its timer is due too, and the planner may be late for it."""
-    planner, servers, clock, _ = in_outbox()
+def test_a_queued_set_up_is_not_written_after_its_time_out(by_ms: float) -> None:
+    """Its timer is also due, but the planner may run it late."""
+    planner, servers, clock, _ = queued_set_up()
     clock.advance(by_ms)
-    servers.read("s0")
-    assert bool(servers.out) is (by_ms < 1500.0)
+    servers.flush("s0")
+    assert bool(servers.in_flight) is (by_ms < 1500.0)
 
 
-def test_a_set_up_to_a_cold_server_begins_in_its_turn_or_not_at_all() -> None:
-    planner, servers, clock = planner_with()
-    planner.inbox.put(m.LinkDown("s0", 1))
-    planner.inbox.put(m.LinkDown("s1", 1))
-    go_on(planner)
+def test_a_set_up_to_a_cold_server_is_not_sent_after_its_begin_deadline() -> None:
+    planner, servers, clock = make_planner()
+    planner.inbox.put(model.LinkDown("s0", 1))
+    planner.inbox.put(model.LinkDown("s1", 1))
+    run_pending(planner)
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpReceived(request(1), caller))
-    go_on(planner)
+    planner.inbox.put(model.SetUpReceived(request(1), caller))
+    run_pending(planner)
     call = planner.calls.by_key[request(1).key]
     assert (attempt := call.attempt) is not None and attempt.epoch is None
-    attempt.begin_by_ms = clock.now_ms() + 100.0  # as the module gives it for a cold server
+    attempt.begin_by_ms = clock.now_ms() + 100.0  # as the controller sets it for a cold server
     server = attempt.server
     clock.advance(101.0)
-    planner.inbox.put(m.LinkUp(server, 2))  # it comes up after the turn is over
-    go_on(planner)
-    assert attempt.ended and attempt.epoch is None, "it has ended unsent"
+    planner.inbox.put(model.LinkUp(server, 2))  # after the begin deadline
+    run_pending(planner)
+    assert attempt.ended and attempt.epoch is None, "it ended without being sent"
 
 
-# -- callers leave at each place where a call may wait --------------------------------------------------
+# -- callers leave in each state in which a call may wait -----------------------------------------------
 
 
 @pytest.fixture(params=[False, True], ids=["closes", "gives up"])
-def leaves(request: pytest.FixtureRequest) -> Callable[[Peer, Stage], None]:
-    """How a caller leaves; returns once its session has read that, while the planner stands still."""
+def make_caller_leave(request: pytest.FixtureRequest) -> Callable[[Peer, Stage], None]:
+    """Makes a caller leave; returns once its session has read that, while the planner is blocked."""
     gives_up: bool = request.param
 
     def leave(caller: Peer, stage: Stage) -> None:
@@ -190,24 +191,24 @@
     return leave
 
 
-class Held:
-    """The planner's thread, held up in the middle of its work until it is let go on."""
+class BlockedPlanner:
+    """Blocks the planner's thread in the middle of its work until unblock() is called."""
 
     def __init__(self, planner: Planner) -> None:
-        self._inside, self._on = threading.Event(), threading.Event()
-        planner.inbox.put(m.InboxBarrier(self._stand))
-        assert self._inside.wait(PATIENCE_S)
+        self._reached, self._resume = threading.Event(), threading.Event()
+        planner.inbox.put(model.InboxBarrier(self._block))
+        assert self._reached.wait(PATIENCE_S)
 
-    def _stand(self) -> None:
-        self._inside.set()
-        assert self._on.wait(PATIENCE_S)
+    def _block(self) -> None:
+        self._reached.set()
+        assert self._resume.wait(PATIENCE_S)
 
-    def let_go_on(self) -> None:
-        self._on.set()
+    def unblock(self) -> None:
+        self._resume.set()
 
 
-def setups(stage: Stage) -> list[str]:
-    """Set-ups that booking servers have been sent, once they have read all that was written."""
+def received_set_ups(stage: Stage) -> list[str]:
+    """Call ids of the set-ups received by the booking servers, after they have read everything written."""
     stage.settle()
     found = []
     for number, server in enumerate(stage.servers):
@@ -222,25 +223,25 @@
 
 @pytest.mark.parametrize("where", ["inbox", "room", "release"])
 def test_no_attempt_begins_once_the_caller_has_left(
-    where: str, leaves: Callable[[Peer, Stage], None]
+    where: str, make_caller_leave: Callable[[Peer, Stage], None]
 ) -> None:
-    """The leaving is read by the session and lies behind a planner that is busy with something else."""
+    """The session has read that the caller left, but the event is queued behind a busy planner."""
     stage = Stage(False)
     try:
         caller = stage.caller()
-        if where == "inbox":  # its set-up waits for the planner
-            held = Held(stage.planner)
+        if where == "inbox":  # its set-up is in the inbox
+            blocked = BlockedPlanner(stage.planner)
             caller.set_up(A)
             until(lambda: stage.node.houses[0].owed == 1)
-        elif where == "room":  # both servers drain: it is held
+        elif where == "room":  # both servers are draining, so the controller holds it
             for server in stage.planner._server_states.values():
                 stage.planner.submit_update(
-                    m.ServerListUpdate(
+                    model.ServerListUpdate(
                         9,
                         False,
                         (
-                            m.LocatedServer(
-                                listed(server.id, int(server.id[1]), api.ServerStatus.DRAINING),
+                            model.LocatedServer(
+                                listed(server.id, int(server.id[1]), interface.ServerStatus.DRAINING),
                                 server.endpoint,
                             ),
                         ),
@@ -249,37 +250,37 @@
             stage.settle()
             caller.set_up(A)
             stage.until(lambda: bool(stage.planner._controller.held))
-            held = Held(stage.planner)
-        else:  # it was reset, and waits for its release
+            blocked = BlockedPlanner(stage.planner)
+        else:  # it was reset and waits for its release gap
             caller.set_up(A)
             assert stage.servers[0].hear()["type"] == "setup"
             stage.links[0].say("release", A, cause=41)
             stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].attempt is None)
-            held = Held(stage.planner)
-        leaves(caller, stage)
-        if where == "room":  # just now there is room again: the news goes before what is in the inbox
+            blocked = BlockedPlanner(stage.planner)
+        make_caller_leave(caller, stage)
+        if where == "room":  # capacity returns now: list updates bypass the inbox
             for number in range(2):
                 server = stage.planner._server_states[f"s{number}"]
                 stage.planner.submit_update(
-                    m.ServerListUpdate(
-                        10 + number, False, (m.LocatedServer(listed(server.id, number), server.endpoint),)
+                    model.ServerListUpdate(
+                        10 + number, False, (model.LocatedServer(listed(server.id, number), server.endpoint),)
                     )
                 )
         elif where == "release":
             stage.clock.advance(RELEASE_MS + 30.0)
-        held.let_go_on()
+        blocked.unblock()
         stage.advance(500)
-        if where == "room":  # they had rested
+        if where == "room":  # the links were disconnected
             assert not stage.attempts
         else:
-            assert setups(stage) == []
+            assert received_set_ups(stage) == []
         assert int(A, 16) not in stage.planner.calls.by_key and stage.planner.calls.open_count == 0
     finally:
         stage.end()
 
 
-def test_no_attempt_begins_where_the_caller_left_while_its_connection_was_made(
-    leaves: Callable[[Peer, Stage], None],
+def test_no_attempt_begins_if_the_caller_left_while_the_server_was_connecting(
+    make_caller_leave: Callable[[Peer, Stage], None],
 ) -> None:
     stage = Stage(False)
     try:
@@ -287,7 +288,7 @@
             link.leave()
         stage.until(lambda: all(known.epoch is None for known in stage.planner._server_states.values()))
         links = stage.planner.servers
-        wake, links.connect = links.connect, lambda server: ""  # type: ignore[method-assign]
+        connect, links.connect = links.connect, lambda server: ""  # type: ignore[method-assign]
         caller = stage.caller()
         caller.set_up(A)
         stage.until(
@@ -295,21 +296,21 @@
                 (call := stage.planner.calls.by_key.get(int(A, 16))) is not None and call.attempt is not None
             )
         )
-        held = Held(stage.planner)
-        leaves(caller, stage)
-        links.connect = wake  # type: ignore[method-assign]
-        for number in range(2):  # they come up, which lies behind the leaving in the planner's inbox
+        blocked = BlockedPlanner(stage.planner)
+        make_caller_leave(caller, stage)
+        links.connect = connect  # type: ignore[method-assign]
+        for number in range(2):  # the events for these connections are queued behind the caller's
             links.connect(f"s{number}")
             stage.servers[number].peer()
-        held.let_go_on()
+        blocked.unblock()
         stage.until(lambda: all(known.epoch is not None for known in stage.planner._server_states.values()))
-        assert setups(stage) == [] and not stage.attempts
+        assert received_set_ups(stage) == [] and not stage.attempts
         assert int(A, 16) not in stage.planner.calls.by_key
     finally:
         stage.end()
 
 
-def test_a_call_that_stands_outlives_its_callers_connection() -> None:
+def test_an_established_call_outlives_its_callers_connection() -> None:
     stage = Stage(False)
     try:
         caller = stage.caller()
@@ -326,205 +327,214 @@
         stage.end()
 
 
-def test_a_call_may_be_given_up_on_another_connection_before_the_planner_hears_of_it() -> None:
+def test_a_call_released_on_another_connection_before_the_planner_sees_it_is_not_sent() -> None:
     stage = Stage(False)
     try:
         caller, other = stage.caller(), stage.caller()
-        held = Held(stage.planner)
+        blocked = BlockedPlanner(stage.planner)
         caller.set_up(A)
         until(lambda: stage.node.houses[0].owed == 1)
-        (asker,) = [s for s in stage.node.fronts[0]._sessions if s._open]
+        (session,) = [s for s in stage.node.fronts[0]._sessions if s._open]
         other.say("release", A, cause=16)
-        until(lambda: not asker.is_waiting(A))
-        held.let_go_on()
+        until(lambda: not session.is_waiting(A))
+        blocked.unblock()
         stage.settle()
-        assert setups(stage) == []
+        assert received_set_ups(stage) == []
     finally:
         stage.end()
 
 
-def test_an_answer_to_a_set_up_that_is_still_in_the_outbox_is_not_its_answer() -> None:
-    """It is an earlier attempt's there: the one that waits is sent anew, nothing is released behind it."""
-    planner, servers, _, caller = in_outbox()
-    planner.inbox.put(m.ServerAnswered("s0", request(1).id, "of an earlier attempt", None))
-    go_on(planner)
-    assert not caller.heard and planner.calls.open_count == 1
-    servers.read("s0")
-    go_on(planner)
-    assert len(servers.out) == 1, "one attempt, and it is out"
+def test_an_answer_to_a_set_up_still_in_the_write_queue_belongs_to_an_earlier_attempt() -> None:
+    """The queued attempt is withdrawn and sent again, and no release is sent after it."""
+    planner, servers, _, caller = queued_set_up()
+    planner.inbox.put(model.ServerAnswered("s0", request(1).id, "of an earlier attempt", None))
+    run_pending(planner)
+    assert not caller.received and planner.calls.open_count == 1
+    servers.flush("s0")
+    run_pending(planner)
+    assert len(servers.in_flight) == 1, "exactly one attempt is in flight"
 
 
-def test_a_call_that_ended_before_its_answer_came_is_told_to_be_over_and_asked_for_nowhere_else() -> None:
-    """Its answer was lost, or is late: the server's normal end says that it stood there and is over."""
-    planner, servers, clock = planner_with()
+def test_a_call_that_ended_before_its_answer_arrived_fails_and_is_not_retried() -> None:
+    """The answer was lost or is late: a normal release proves that the call was established and has ended."""
+    planner, servers, clock = make_planner()
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpReceived(request(1), caller))
-    go_on(planner)
-    assert servers.out == {request(1).id: "s0"}
-    servers.ended(request(1).id, False)
+    planner.inbox.put(model.SetUpReceived(request(1), caller))
+    run_pending(planner)
+    assert servers.in_flight == {request(1).id: "s0"}
+    servers.end_attempt(request(1).id, False)
     planner.inbox.put(
-        m.ServerReleased(
-            "s0", request(1).id, m.CAUSE_NORMAL, api.Result.ERROR, api.RefusalReason.UNSPECIFIED, None
+        model.ServerReleased(
+            "s0",
+            request(1).id,
+            model.CAUSE_NORMAL,
+            interface.Result.ERROR,
+            interface.RefusalReason.UNSPECIFIED,
+            None,
         )
     )
-    go_on(planner)
-    assert caller.heard == [m.Failed(request(1).id, m.CAUSE_NORMAL)]
-    planner.inbox.put(m.ServerAnswered("s0", request(1).id, "late", None))
-    go_on(planner)
+    run_pending(planner)
+    assert caller.received == [model.Failed(request(1).id, model.CAUSE_NORMAL)]
+    planner.inbox.put(model.ServerAnswered("s0", request(1).id, "late", None))
+    run_pending(planner)
     clock.advance(1000.0)
-    go_on(planner)
+    run_pending(planner)
     assert (
-        not servers.out
-        and len(caller.heard) == 1
+        not servers.in_flight
+        and len(caller.received) == 1
         and not planner.calls.by_key
         and planner.calls.open_count == 0
     )
 
 
-# -- ends that come twice, late, or for another attempt --------------------------------------------------
+# -- releases and answers that are duplicated, late, or for another attempt ------------------------------
 
 
-def out_again(result: api.Result, cause: int) -> tuple[Planner, FakeServers, Any]:
-    """A call whose first attempt has ended, at the only server."""
-    planner, servers, clock = planner_with()
+def after_first_attempt(result: interface.Result, cause: int) -> tuple[Planner, FakeServers, Any]:
+    """A call whose first attempt has ended, with only that one server left."""
+    planner, servers, clock = make_planner()
     planner.submit_update(
-        m.ServerListUpdate(
-            3, False, (m.LocatedServer(listed("s1", 1, api.ServerStatus.REMOVED), "127.0.0.1:2"),)
+        model.ServerListUpdate(
+            3, False, (model.LocatedServer(listed("s1", 1, interface.ServerStatus.REMOVED), "127.0.0.1:2"),)
         )
     )
-    planner.inbox.put(m.SetUpReceived(request(1), FakeCaller(False)))
-    go_on(planner)
-    assert servers.out == {request(1).id: "s0"}
-    servers.ended(request(1).id, False)
+    planner.inbox.put(model.SetUpReceived(request(1), FakeCaller(False)))
+    run_pending(planner)
+    assert servers.in_flight == {request(1).id: "s0"}
+    servers.end_attempt(request(1).id, False)
     planner.inbox.put(
-        m.ServerReleased("s0", request(1).id, cause, result, api.RefusalReason.UNSPECIFIED, None)
+        model.ServerReleased("s0", request(1).id, cause, result, interface.RefusalReason.UNSPECIFIED, None)
     )
-    go_on(planner)
+    run_pending(planner)
     return planner, servers, clock
 
 
-def test_an_end_that_comes_twice_does_not_free_the_call_from_its_next_attempt_there() -> None:
-    planner, servers, clock = out_again(api.Result.NOT_SENT, 102)
+def test_a_duplicate_release_does_not_end_the_next_attempt_at_the_same_server() -> None:
+    planner, servers, clock = after_first_attempt(interface.Result.NOT_SENT, 102)
     call = planner.calls.by_key[request(1).key]
-    assert not servers.out, "the copy may still be on its way"
-    copy = m.ServerReleased(
-        "s0", request(1).id, 102, api.Result.NOT_SENT, api.RefusalReason.UNSPECIFIED, None
+    assert not servers.in_flight, "a duplicate may still be in transit"
+    copy = model.ServerReleased(
+        "s0", request(1).id, 102, interface.Result.NOT_SENT, interface.RefusalReason.UNSPECIFIED, None
     )
     planner.inbox.put(copy)
-    go_on(planner)
+    run_pending(planner)
     clock.advance(RELEASE_MS)
-    go_on(planner)
-    assert servers.out == {request(1).id: "s0"} and call.attempts == 2
+    run_pending(planner)
+    assert servers.in_flight == {request(1).id: "s0"} and call.attempts == 2
 
 
-def test_an_answer_on_a_connection_that_was_replaced_is_not_the_next_attempts() -> None:
-    planner, servers, clock = planner_with()
+def test_an_answer_on_a_replaced_connection_does_not_answer_the_next_attempt() -> None:
+    planner, servers, clock = make_planner()
     planner.submit_update(
-        m.ServerListUpdate(
-            3, False, (m.LocatedServer(listed("s1", 1, api.ServerStatus.REMOVED), "127.0.0.1:2"),)
+        model.ServerListUpdate(
+            3, False, (model.LocatedServer(listed("s1", 1, interface.ServerStatus.REMOVED), "127.0.0.1:2"),)
         )
     )
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpReceived(request(1), caller))
-    planner.inbox.put(m.LinkDown("s0", 1))
-    planner.inbox.put(m.LinkUp("s0", 2))
-    go_on(planner)
-    servers.ended(request(1).id, True)
+    planner.inbox.put(model.SetUpReceived(request(1), caller))
+    planner.inbox.put(model.LinkDown("s0", 1))
+    planner.inbox.put(model.LinkUp("s0", 2))
+    run_pending(planner)
+    servers.end_attempt(request(1).id, True)
     for _ in range(10):
         clock.advance(25.0)
-        go_on(planner)
-    assert servers.out == {request(1).id: "s0"} and servers.sent[request(1).id] == 2
-    planner.inbox.put(m.ServerAnswered("s0", request(1).id, "of the first", None, True))
-    go_on(planner)
-    assert not caller.heard and servers.out, "given up with its connection; the second is still out"
-    planner.inbox.put(m.ServerAnswered("s0", request(1).id, "of the second", None))
-    go_on(planner)
-    assert caller.heard == [m.Answered(request(1).id, "of the second")]
+        run_pending(planner)
+    assert servers.in_flight == {request(1).id: "s0"} and servers.sent[request(1).id] == 2
+    planner.inbox.put(model.ServerAnswered("s0", request(1).id, "of the first", None, True))
+    run_pending(planner)
+    assert not caller.received and servers.in_flight, (
+        "the first ended with its connection; the second is in flight"
+    )
+    planner.inbox.put(model.ServerAnswered("s0", request(1).id, "of the second", None))
+    run_pending(planner)
+    assert caller.received == [model.Answered(request(1).id, "of the second")]
 
 
 @pytest.mark.parametrize("late_ms", [0.0, LATE_ANSWER_MS])
-def test_an_answer_that_crosses_its_connections_end_leaves_nothing_standing(late_ms: float) -> None:
-    planner, servers, clock = planner_with()
+def test_an_answer_read_after_its_connection_closed_is_released(late_ms: float) -> None:
+    planner, servers, clock = make_planner()
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpReceived(request(1, left_ms=150.0), caller))
-    planner.inbox.put(m.LinkDown("s0", 1))
-    go_on(planner)
+    planner.inbox.put(model.SetUpReceived(request(1, left_ms=150.0), caller))
+    planner.inbox.put(model.LinkDown("s0", 1))
+    run_pending(planner)
     for _ in range(8):
         clock.advance(25.0)
-        go_on(planner)
-    assert request(1).key not in planner.calls.by_key and len(caller.heard) == 1
-    servers.out.clear()
-    servers.standing[request(1).id] = "s0"  # the server answered just before it saw the end
+        run_pending(planner)
+    assert request(1).key not in planner.calls.by_key and len(caller.received) == 1
+    servers.in_flight.clear()
+    servers.established[request(1).id] = "s0"  # the server answered just before it saw the connection close
     clock.advance(late_ms)
-    go_on(planner)
-    planner.inbox.put(m.ServerAnswered("s0", request(1).id, "sdp", None, True))
-    planner.inbox.put(m.LinkUp("s0", 2))
-    go_on(planner)
-    assert bool(servers.standing) is (late_ms > 0.0) and len(caller.heard) == 1
+    run_pending(planner)
+    planner.inbox.put(model.ServerAnswered("s0", request(1).id, "sdp", None, True))
+    planner.inbox.put(model.LinkUp("s0", 2))
+    run_pending(planner)
+    assert bool(servers.established) is (late_ms > 0.0) and len(caller.received) == 1
 
 
-def test_a_call_that_its_caller_ends_while_no_connection_is_up_is_released_on_the_next() -> None:
-    planner, servers, clock = planner_with()
+def test_a_call_ended_by_its_caller_while_disconnected_is_released_on_the_next_connection() -> None:
+    planner, servers, clock = make_planner()
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpReceived(request(1), caller))
-    go_on(planner)
-    servers.out.clear()
-    servers.standing[request(1).id] = "s0"
-    planner.inbox.put(m.ServerAnswered("s0", request(1).id, "sdp", None))
-    planner.inbox.put(m.LinkDown("s0", 1))
-    planner.inbox.put(m.CallerReleased(request(1).id, m.CAUSE_NORMAL, caller))
-    go_on(planner)
-    assert servers.standing, "there is no way to say it"
+    planner.inbox.put(model.SetUpReceived(request(1), caller))
+    run_pending(planner)
+    servers.in_flight.clear()
+    servers.established[request(1).id] = "s0"
+    planner.inbox.put(model.ServerAnswered("s0", request(1).id, "sdp", None))
+    planner.inbox.put(model.LinkDown("s0", 1))
+    planner.inbox.put(model.CallerReleased(request(1).id, model.CAUSE_NORMAL, caller))
+    run_pending(planner)
+    assert servers.established, "there is no connection to send the release on"
     clock.advance(100.0)
-    planner.inbox.put(m.LinkUp("s0", 2))
-    go_on(planner)
-    assert not servers.standing
-    # One that stays away for so long that its calls count as cut is told nothing of them later.
-    planner._server_states["s0"].pending_releases["x"] = m.CAUSE_NORMAL
-    planner.inbox.put(m.LinkDown("s0", 2))
-    go_on(planner)
+    planner.inbox.put(model.LinkUp("s0", 2))
+    run_pending(planner)
+    assert not servers.established
+    # Pending releases are dropped once the server's calls have been ended as interrupted.
+    planner._server_states["s0"].pending_releases["x"] = model.CAUSE_NORMAL
+    planner.inbox.put(model.LinkDown("s0", 2))
+    run_pending(planner)
     clock.advance(DISCONNECT_GRACE_MS)
-    go_on(planner)
+    run_pending(planner)
     assert not planner._server_states["s0"].pending_releases
 
 
-def test_one_action_that_can_not_be_carried_out_does_not_cost_those_after_it(
+def test_a_failing_action_does_not_skip_the_actions_after_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    planner, servers, _ = planner_with()
-    send = api.Send(77, "s0", 100.0)  # of a call that is not here
-    monkeypatch.setattr(planner._controller, "handle", lambda now_ms, event: [send, api.SetTimer(5.0, "x")])
+    planner, servers, _ = make_planner()
+    send = interface.Send(77, "s0", 100.0)  # of an unknown call
+    monkeypatch.setattr(
+        planner._controller, "handle", lambda now_ms, event: [send, interface.SetTimer(5.0, "x")]
+    )
     before = len(planner._timers)
-    planner._notify_controller(api.TimerFired("tick"))
-    assert len(planner._timers) == before + 1 and not servers.out
+    planner._notify_controller(interface.TimerFired("tick"))
+    assert len(planner._timers) == before + 1 and not servers.in_flight
 
 
-# -- the same set-up again --------------------------------------------------------------------------------
+# -- repeated set-ups -------------------------------------------------------------------------------------
 
 
-def test_a_set_up_that_comes_again_after_its_caller_hung_up_is_a_call_of_its_own_after_the_release() -> None:
-    planner, servers, clock = planner_with()
-    first, second = Departed(), FakeCaller(False)
-    planner.inbox.put(m.SetUpReceived(request(1), first))
-    go_on(planner)
-    assert servers.out == {request(1).id: "s0"}
-    first.here = False  # its connection broke, which lies behind the set-up in the inbox
-    planner.inbox.put(m.SetUpReceived(request(1), second))
-    planner.inbox.put(m.CallerDisconnected(first))
-    go_on(planner)
-    assert not second.heard and not servers.out
+def test_a_set_up_repeated_after_its_caller_disconnected_is_a_new_call_after_the_release_gap() -> None:
+    planner, servers, clock = make_planner()
+    first, second = DisconnectableCaller(), FakeCaller(False)
+    planner.inbox.put(model.SetUpReceived(request(1), first))
+    run_pending(planner)
+    assert servers.in_flight == {request(1).id: "s0"}
+    first.is_connected = False  # the event for its broken connection is queued behind the set-up
+    planner.inbox.put(model.SetUpReceived(request(1), second))
+    planner.inbox.put(model.CallerDisconnected(first))
+    run_pending(planner)
+    assert not second.received and not servers.in_flight
     clock.advance(RELEASE_MS - 1.0)
-    go_on(planner)
-    assert not servers.out, "what was given up may still be held there"
+    run_pending(planner)
+    assert not servers.in_flight, "the abandoned attempt may still be held by the server"
     clock.advance(1.0)
-    go_on(planner)
-    assert servers.out == {request(1).id: "s0"}
-    planner.inbox.put(m.ServerAnswered("s0", request(1).id, "sdp", None))
-    go_on(planner)
-    assert second.heard == [m.Answered(request(1).id, "sdp")] and not first.heard
+    run_pending(planner)
+    assert servers.in_flight == {request(1).id: "s0"}
+    planner.inbox.put(model.ServerAnswered("s0", request(1).id, "sdp", None))
+    run_pending(planner)
+    assert second.received == [model.Answered(request(1).id, "sdp")] and not first.received
 
 
-# -- settings of another customer --------------------------------------------------------------------------
+# -- settings of another deployment ------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -534,53 +544,55 @@
         (750.0, 5000.0, 9, "crane-claim"),
     ],
 )
-def test_times_names_and_bounds_are_the_settings(
+def test_times_class_names_and_limits_come_from_the_settings(
     release_ms: float, drain_grace_ms: float, attempts: int, name: str
 ) -> None:
     clock, caller = ManualClock(), FakeCaller(False)
-    terms = settings(
+    custom_settings = settings(
         release_ms=release_ms,
         drain_grace_ms=drain_grace_ms,
         max_attempts=attempts,
-        classes=(api.CallClass(name, 60_000.0, 90_000.0),),
+        classes=(interface.CallClass(name, 60_000.0, 90_000.0),),
     )
-    planner = Planner(terms, 1, clock, 500.0)
-    planner.servers = servers = Unruled(clock)
-    planner.submit_update(news(1, "s0", api.ServerStatus.ACTIVE))
-    planner.inbox.put(m.LinkUp("s0", 1))
-    asked = m.SetUp("00000000000000aa", name, clock.now_ms() + 90_000.0, "n", "sdp", 0)
-    planner.inbox.put(m.SetUpReceived(asked, caller))
-    other = m.SetUp("00000000000000ab", "slot-lookup", asked.expires_ms, "n", "sdp")
-    planner.inbox.put(m.SetUpReceived(other, caller))
-    go_on(planner)
-    assert caller.heard == [m.Failed("00000000000000ab", m.CAUSE_INVALID)], (
-        "a class that is not of this customer's"
+    planner = Planner(custom_settings, 1, clock, 500.0)
+    planner.servers = servers = RecordingServers(clock)
+    planner.submit_update(list_update(1, "s0", interface.ServerStatus.ACTIVE))
+    planner.inbox.put(model.LinkUp("s0", 1))
+    new_set_up = model.SetUp("00000000000000aa", name, clock.now_ms() + 90_000.0, "n", "sdp", 0)
+    planner.inbox.put(model.SetUpReceived(new_set_up, caller))
+    other = model.SetUp("00000000000000ab", "slot-lookup", new_set_up.expires_ms, "n", "sdp")
+    planner.inbox.put(model.SetUpReceived(other, caller))
+    run_pending(planner)
+    assert caller.received == [model.Failed("00000000000000ab", model.CAUSE_INVALID)], (
+        "a class that these settings do not have"
     )
     ended: list[float] = []
-    while not caller.heard[1:]:
+    while not caller.received[1:]:
         assert len(ended) <= attempts
-        if len(servers.sent_at) > len(ended):  # out: it is reset at once
+        if len(servers.sent_at) > len(ended):  # sent: reset it at once
             ended.append(clock.now_ms())
             planner.inbox.put(
-                m.ServerReleased("s0", asked.id, 41, api.Result.RESET, api.RefusalReason.UNSPECIFIED, None)
+                model.ServerReleased(
+                    "s0", new_set_up.id, 41, interface.Result.RESET, interface.RefusalReason.UNSPECIFIED, None
+                )
             )
-        go_on(planner)
+        run_pending(planner)
         clock.advance(10.0)
-        go_on(planner)
+        run_pending(planner)
     assert len(ended) == attempts
     gaps = [sent - end for end, sent in zip(ended, servers.sent_at[1:], strict=False)]
     assert all(release_ms <= gap < release_ms + 60.0 for gap in gaps), gaps
 
 
-class Unruled(FakeServers):
-    """Notes when what went out; the figures that it would hold it against are another customer's."""
+class RecordingServers(FakeServers):
+    """Records send times without FakeServers' checks, which assume the default settings."""
 
     def __init__(self, clock: ManualClock) -> None:
         super().__init__(clock)
         self.sent_at: list[float] = []
 
     def set_up(
-        self, server: str, epoch: int, request: m.SetUp, remaining_ms: float, gate: m.WriteGate
+        self, server: str, epoch: int, request: model.SetUp, remaining_ms: float, gate: model.WriteGate
     ) -> None:
         assert gate.may_write()
         self.sent_at.append(self.clock.now_ms())
--- a/tests/test_planner_parts.py
+++ b/tests/test_planner_parts.py
@@ -1,10 +1,10 @@
-"""The parts of the planner that stand alone: its call table, its probes, the gate that awaits the list."""
+"""Unit tests for the planner's parts: call table, probes and list gate."""
 
 from __future__ import annotations
 
 import math
 
-from capershelf.core import model as m
+from capershelf.core import model
 from capershelf.core.call_table import CallTable
 from capershelf.core.clock import ManualClock
 from capershelf.core.list_gate import MAX_WAIT_MS, CHECK_INTERVAL_MS, BYPASS_MS, ListGate
@@ -18,21 +18,21 @@
     calls_outlive_connection = False
     host = "127.0.0.1"
 
-    def other_connection(self) -> m.Caller | None:
+    def other_connection(self) -> model.Caller | None:
         return None
 
-    def notify(self, word: m.CallerMessage) -> bool:
+    def notify(self, message: model.CallerMessage) -> bool:
         return True
 
     def is_waiting(self, call_id: str) -> bool:
         return True
 
     def call_ended(self, call_id: str) -> None:
-        """Nobody counts here."""
+        """Not tracked."""
 
 
-def request(call_id: str = CALL) -> m.SetUp:
-    return m.SetUp(call_id, "usual", 9000.0, "n", "asked for")
+def request(call_id: str = CALL) -> model.SetUp:
+    return model.SetUp(call_id, "usual", 9000.0, "n", "asked for")
 
 
 def test_an_outcome_is_given_once() -> None:
@@ -52,24 +52,24 @@
     assert table.open_calls() == [call] and table.for_caller(caller) == [call]
 
 
-def test_a_call_that_was_given_up_rests_before_it_comes_again() -> None:
+def test_a_call_repeated_after_it_was_abandoned_waits_for_the_release_gap() -> None:
     table = CallTable()
     first, second = (
         table.start_release_gap(int(CALL, 16), 1200.0),
         table.start_release_gap(int(CALL, 16), 1500.0),
     )
-    first()  # the later rest holds
+    first()  # the later gap applies
     assert table.add(request(), FakeCaller()).not_before_ms == 1500.0
     second()
     assert table.add(request(), FakeCaller()).not_before_ms == -math.inf
 
 
-def test_forgetting_a_call_leaves_another_of_its_key() -> None:
+def test_removing_a_call_leaves_a_newer_one_of_the_same_key() -> None:
     table, timers = CallTable(), Timers()
     call = table.add(request(), FakeCaller())
     table.claim_outcome(call)
     fired: list[int] = []
-    table.retain_undelivered(call, m.Refused(CALL), timers.schedule(5.0, lambda: fired.append(1)))
+    table.retain_undelivered(call, model.Refused(CALL), timers.schedule(5.0, lambda: fired.append(1)))
     call.lost_caller_host = "127.0.0.1"
     table.undelivered_ends[call.request.key] = call
     assert table.undelivered_ends_for("127.0.0.1") == [call] and table.undelivered_ends_for("127.0.0.2") == []
@@ -78,14 +78,14 @@
     assert table.find(CALL) is newer and not table.undelivered_ends
     for timer in timers.pop_due(10.0):
         timer.fire()
-    assert fired == [], "its timer is cancelled"
+    assert fired == [], "its timer was not cancelled"
 
 
-def test_where_an_attempt_was_reset_is_known_until_it_is_heard_out() -> None:
+def test_a_reset_is_recorded_until_its_callback_runs() -> None:
     table = CallTable()
-    heard_out = table.record_reset(int(CALL, 16), "s0")
+    remove_reset = table.record_reset(int(CALL, 16), "s0")
     assert table.was_reset_at(CALL, "s0") and not table.was_reset_at(CALL, "s1")
-    heard_out()
+    remove_reset()
     assert not table.was_reset_at(CALL, "s0")
 
 
@@ -98,14 +98,14 @@
     assert len(probes) == 1
 
 
-class Waiting:
-    """A list gate on a clock that the test moves."""
+class ListGateRig:
+    """A list gate with a manual clock."""
 
     def __init__(self) -> None:
         self.clock, self.timers = ManualClock(0.0), Timers()
-        self.fresh, self.news = False, False
-        self.released: list[float] = []
-        self.gate = ListGate(self.clock, self.timers.schedule, lambda: self.news, self.released.append)
+        self.fresh, self.pending = False, False
+        self.opened_ms: list[float] = []
+        self.gate = ListGate(self.clock, self.timers.schedule, lambda: self.pending, self.opened_ms.append)
         self.gate.is_fresh = lambda: self.fresh
 
     def advance(self, by_ms: float) -> None:
@@ -116,30 +116,30 @@
                 timer.fire()
 
 
-def test_set_ups_wait_for_a_list_that_is_not_fresh_and_go_once_it_is() -> None:
-    one = Waiting()
-    assert one.gate.must_wait() and one.gate.must_wait()
-    assert len(one.timers) == 1, "it is looked for once for all that wait"
-    one.fresh = True
-    one.advance(CHECK_INTERVAL_MS)
-    assert one.released == [CHECK_INTERVAL_MS] and not one.gate.must_wait()
-
-
-def test_news_that_is_not_dealt_with_holds_whatever_the_time() -> None:
-    one = Waiting()
-    one.fresh = one.news = True
-    assert one.gate.must_wait()
-    one.advance(2.0 * MAX_WAIT_MS)
-    assert one.released == []
-    one.news = False
-    one.advance(CHECK_INTERVAL_MS)
-    assert len(one.released) == 1
-
-
-def test_a_list_that_stays_away_stops_no_call() -> None:
-    one = Waiting()
-    assert one.gate.must_wait()
-    one.advance(MAX_WAIT_MS)
-    assert one.released == [MAX_WAIT_MS] and not one.gate.must_wait()
-    one.advance(BYPASS_MS)
-    assert one.gate.must_wait(), "it is looked for again after a while"
+def test_set_ups_wait_for_a_stale_list_until_it_is_fresh() -> None:
+    rig = ListGateRig()
+    assert rig.gate.must_wait() and rig.gate.must_wait()
+    assert len(rig.timers) == 1, "one check serves all waiting set-ups"
+    rig.fresh = True
+    rig.advance(CHECK_INTERVAL_MS)
+    assert rig.opened_ms == [CHECK_INTERVAL_MS] and not rig.gate.must_wait()
+
+
+def test_pending_updates_hold_set_ups_without_a_time_limit() -> None:
+    rig = ListGateRig()
+    rig.fresh = rig.pending = True
+    assert rig.gate.must_wait()
+    rig.advance(2.0 * MAX_WAIT_MS)
+    assert rig.opened_ms == []
+    rig.pending = False
+    rig.advance(CHECK_INTERVAL_MS)
+    assert len(rig.opened_ms) == 1
+
+
+def test_an_unavailable_list_holds_set_ups_only_for_the_maximum_wait() -> None:
+    rig = ListGateRig()
+    assert rig.gate.must_wait()
+    rig.advance(MAX_WAIT_MS)
+    assert rig.opened_ms == [MAX_WAIT_MS] and not rig.gate.must_wait()
+    rig.advance(BYPASS_MS)
+    assert rig.gate.must_wait(), "set-ups wait again after the bypass"
--- a/tests/test_planner_states.py
+++ b/tests/test_planner_states.py
@@ -1,4 +1,4 @@
-"""A model of callers' connections, calls and links under random steps; no socket, a clock moved by hand."""
+"""State machine test of the planner: random caller, call and link events; no sockets, a manual clock."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, multiple, rule
 
-from capershelf import interface as api
-from capershelf.core import model as m
+from capershelf import interface
+from capershelf.core import model
 from capershelf.core.clock import ManualClock
 from capershelf.core.planner import DEADLINE_MARGIN_MS, Planner
 from tests.rig import listed, settings
@@ -24,11 +24,11 @@
     host = "127.0.0.1"
 
     def __init__(self, outlived: bool) -> None:
-        self.calls_outlive_connection, self.open, self.heard = outlived, True, list[m.CallerMessage]()
+        self.calls_outlive_connection, self.open, self.received = outlived, True, list[model.CallerMessage]()
 
-    def notify(self, word: m.CallerMessage) -> bool:
+    def notify(self, message: model.CallerMessage) -> bool:
         if self.open:
-            self.heard.append(word)
+            self.received.append(message)
         return self.open
 
     def call_ended(self, call_id: str) -> None: ...
@@ -36,64 +36,64 @@
     def is_waiting(self, call_id: str) -> bool:
         return self.calls_outlive_connection or self.open
 
-    def other_connection(self) -> m.Caller | None:
+    def other_connection(self) -> model.Caller | None:
         return None
 
 
 class FakeServers:
-    """Notes what goes out and checks the rules on attempts as they go."""
+    """Records set-ups and releases, and checks the rules on attempts as they are sent."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
-        self.out: dict[str, str] = {}  # call: server
+        self.in_flight: dict[str, str] = {}  # server by call id
         self.sent: dict[str, int] = {}
-        self.standing: dict[str, str] = {}
+        self.established: dict[str, str] = {}
         self.not_before: dict[str, float] = {}
-        self.drains, self.slow = set[str](), set[str]()
-        self.waiting: dict[str, str] = {}  # in the outbox of a connection that is read slowly
-        self.gates: dict[str, m.WriteGate] = {}
+        self.draining, self.not_reading = set[str](), set[str]()
+        self.queued: dict[str, str] = {}  # in the write queue of a connection that is not being read
+        self.gates: dict[str, model.WriteGate] = {}
 
     def set_up(
-        self, server: str, epoch: int, request: m.SetUp, remaining_ms: float, gate: m.WriteGate
+        self, server: str, epoch: int, request: model.SetUp, remaining_ms: float, gate: model.WriteGate
     ) -> None:
         now_ms = self.clock.now_ms()
-        assert gate.may_write(), "handed over though it must not begin"
-        if server in self.slow:
+        assert gate.may_write(), "passed to the link although it must not begin"
+        if server in self.not_reading:
             self.gates[request.id] = gate
-        assert request.id not in self.out and request.id not in self.waiting, "two attempts out"
-        assert server not in self.drains, "a set-up after its server's drain was told"
-        assert now_ms >= self.not_before.get(request.id, 0.0), "sent again before its release"
+        assert request.id not in self.in_flight and request.id not in self.queued, "two attempts in flight"
+        assert server not in self.draining, "a set-up to a server listed as draining"
+        assert now_ms >= self.not_before.get(request.id, 0.0), "sent again before the end of the release gap"
         assert now_ms + remaining_ms <= request.expires_ms
-        (self.waiting if server in self.slow else self.out)[request.id] = server
+        (self.queued if server in self.not_reading else self.in_flight)[request.id] = server
         self.sent[request.id] = self.sent.get(request.id, 0) + 1
         assert self.sent[request.id] <= SETTINGS.max_attempts
 
-    def ended(self, call: str, waits: bool) -> None:
-        if self.out.pop(call, None) is not None and waits:
+    def end_attempt(self, call: str, with_gap: bool) -> None:
+        if self.in_flight.pop(call, None) is not None and with_gap:
             self.not_before[call] = self.clock.now_ms() + RELEASE_MS
 
     def release(self, server: str, call_id: str, cause: int) -> None:
-        assert call_id not in self.waiting, "its set-up would be read just before"
-        if self.standing.get(call_id) == server:
-            del self.standing[call_id]
-        elif self.out.get(call_id) == server:
-            self.ended(call_id, True)
+        assert call_id not in self.queued, "the queued set-up would be written before its release"
+        if self.established.get(call_id) == server:
+            del self.established[call_id]
+        elif self.in_flight.get(call_id) == server:
+            self.end_attempt(call_id, True)
 
     def withdraw(self, server: str, call_id: str = "") -> set[str]:
-        found = {call for call, at in self.waiting.items() if at == server and call_id in ("", call)}
+        found = {call for call, at in self.queued.items() if at == server and call_id in ("", call)}
         for call in found:
-            del self.waiting[call], self.gates[call]
+            del self.queued[call], self.gates[call]
         return found
 
-    def read(self, server: str) -> None:
-        """The outbox empties."""
-        self.slow.discard(server)
-        for call in [call for call, at in self.waiting.items() if at == server]:
-            assert server not in self.drains, "a set-up written after its server's drain was told"
-            del self.waiting[call]
+    def flush(self, server: str) -> None:
+        """Write the queue out."""
+        self.not_reading.discard(server)
+        for call in [call for call, at in self.queued.items() if at == server]:
+            assert server not in self.draining, "a set-up written to a server listed as draining"
+            del self.queued[call]
             gate = self.gates.pop(call)
             if gate.may_write():
-                self.out[call] = server
+                self.in_flight[call] = server
             else:
                 gate.on_dropped()
 
@@ -121,24 +121,24 @@
         self.planner = Planner(SETTINGS, 1, self.clock, 500.0)
         self.servers = self.planner.servers = FakeServers(self.clock)
         self.epochs: dict[str, int] = {}
-        self.links: dict[str, bool] = dict.fromkeys(SERVERS, False)
+        self.link_is_up: dict[str, bool] = dict.fromkeys(SERVERS, False)
         self.callers: list[FakeCaller] = []
-        self.asked: dict[str, m.SetUp] = {}
-        self.at: dict[str, FakeCaller] = {}
-        self.left: set[str] = set()  # given up by their callers: nothing is owed
+        self.requests: dict[str, model.SetUp] = {}
+        self.caller_of: dict[str, FakeCaller] = {}
+        self.abandoned: set[str] = set()  # by their callers: no outcome is due
         self.version = 1
         self.put(
-            m.ServerListUpdate(
+            model.ServerListUpdate(
                 1,
                 True,
                 tuple(
-                    m.LocatedServer(listed(server, place), f"127.0.0.1:{place + 1}")
+                    model.LocatedServer(listed(server, place), f"127.0.0.1:{place + 1}")
                     for place, server in enumerate(SERVERS)
                 ),
             )
         )
 
-    def put(self, event: m.Event) -> None:
+    def put(self, event: model.Event) -> None:
         self.planner.inbox.put(event)
         self.planner.step()
 
@@ -147,12 +147,12 @@
         return self.callers[-1]
 
     def ask(self, call: str, caller: FakeCaller) -> None:
-        self.at[call] = caller
-        self.put(m.SetUpReceived(self.asked[call], caller))
+        self.caller_of[call] = caller
+        self.put(model.SetUpReceived(self.requests[call], caller))
 
-    def words(self, call: str) -> list[list[m.CallerMessage]]:
-        final = (m.Answered, m.Refused, m.Failed)
-        return [[w for w in c.heard if w.id == call and isinstance(w, final)] for c in self.callers]
+    def outcomes(self, call: str) -> list[list[model.CallerMessage]]:
+        final = (model.Answered, model.Refused, model.Failed)
+        return [[w for w in c.received if w.id == call and isinstance(w, final)] for c in self.callers]
 
     # -- steps ----------------------------------------------------------------------------------------
     @rule(
@@ -163,110 +163,114 @@
         place=st.integers(-1, 2),
     )
     def set_up(self, outlived: bool, kind: str, left_ms: int, place: int) -> Any:
-        call = f"{len(self.asked) + 1:016x}"
-        self.asked[call] = m.SetUp(call, kind, self.clock.now_ms() + left_ms, f"n{call}", "sdp", place)
+        call = f"{len(self.requests) + 1:016x}"
+        self.requests[call] = model.SetUp(call, kind, self.clock.now_ms() + left_ms, f"n{call}", "sdp", place)
         self.ask(call, self.caller(outlived))
         return multiple(call)
 
     @rule(call=calls)
     def repeat_on_its_connection(self, call: str) -> None:
-        if self.at[call].open and not any(self.words(call)) and call not in self.left:
+        if self.caller_of[call].open and not any(self.outcomes(call)) and call not in self.abandoned:
             before = self.servers.sent.get(call, 0)
-            self.put(m.SetUpReceived(self.asked[call], self.at[call]))
+            self.put(model.SetUpReceived(self.requests[call], self.caller_of[call]))
             assert self.servers.sent.get(call, 0) == before
 
     @rule(call=calls)
     def connection_lost(self, call: str) -> None:
-        caller = self.at[call]
+        caller = self.caller_of[call]
         if caller.open:
             caller.open = False
-            if not caller.calls_outlive_connection and not any(self.words(call)):
-                self.left.add(call)
-            self.put(m.CallerDisconnected(caller))
+            if not caller.calls_outlive_connection and not any(self.outcomes(call)):
+                self.abandoned.add(call)
+            self.put(model.CallerDisconnected(caller))
 
     @rule(call=calls)
     def come_back(self, call: str) -> None:
-        caller = self.at[call]
+        caller = self.caller_of[call]
         if (
             caller.calls_outlive_connection
-            and not any(self.words(call))
-            and call not in self.left
-            and (self.clock.now_ms() < self.asked[call].expires_ms)
+            and not any(self.outcomes(call))
+            and call not in self.abandoned
+            and (self.clock.now_ms() < self.requests[call].expires_ms)
         ):
             before = self.servers.sent.get(call, 0)
             self.ask(call, self.caller(True))
-            assert self.servers.sent.get(call, 0) == before, "an attempt for coming back"
+            assert self.servers.sent.get(call, 0) == before, "reconnecting must not start an attempt"
 
     @rule(call=calls)
     def give_up(self, call: str) -> None:
-        if not any(self.words(call)):
-            self.left.add(call)
-        self.put(m.CallerReleased(call, m.CAUSE_NORMAL, self.at[call]))
-        assert call not in self.servers.out
+        if not any(self.outcomes(call)):
+            self.abandoned.add(call)
+        self.put(model.CallerReleased(call, model.CAUSE_NORMAL, self.caller_of[call]))
+        assert call not in self.servers.in_flight
 
     @rule(server=st.sampled_from(SERVERS))
     def link_changes(self, server: str) -> None:
-        self.links[server] = up = not self.links[server]
+        self.link_is_up[server] = up = not self.link_is_up[server]
         if up:
             self.epochs[server] = self.epochs.get(server, 0) + 1
-            self.put(m.LinkUp(server, self.epochs[server]))
+            self.put(model.LinkUp(server, self.epochs[server]))
             return
-        self.servers.read(server)  # as far as anybody can tell
-        for call in [c for c, at in self.servers.out.items() if at == server]:
-            self.servers.ended(call, True)
-        self.put(m.LinkDown(server, self.epochs[server]))
+        self.servers.flush(server)  # queued set-ups may have been read before the link broke
+        for call in [c for c, at in self.servers.in_flight.items() if at == server]:
+            self.servers.end_attempt(call, True)
+        self.put(model.LinkDown(server, self.epochs[server]))
 
     @rule(server=st.sampled_from(SERVERS))
     def reads_slowly_or_again(self, server: str) -> None:
-        if server in self.servers.slow:
-            self.servers.read(server)
-        elif self.links[server]:
-            self.servers.slow.add(server)
+        if server in self.servers.not_reading:
+            self.servers.flush(server)
+        elif self.link_is_up[server]:
+            self.servers.not_reading.add(server)
 
     @rule(server=st.sampled_from(SERVERS))
     def drains_or_is_back(self, server: str) -> None:
-        drains = server not in self.servers.drains
-        (self.servers.drains.add if drains else self.servers.drains.discard)(server)
+        drains = server not in self.servers.draining
+        (self.servers.draining.add if drains else self.servers.draining.discard)(server)
         self.version += 1
         place = SERVERS.index(server)
-        standing = api.ServerStatus.DRAINING if drains else api.ServerStatus.ACTIVE
+        status = interface.ServerStatus.DRAINING if drains else interface.ServerStatus.ACTIVE
         self.put(
-            m.ServerListUpdate(
+            model.ServerListUpdate(
                 self.version,
                 False,
-                (m.LocatedServer(listed(server, place, standing), f"127.0.0.1:{place + 1}"),),
+                (model.LocatedServer(listed(server, place, status), f"127.0.0.1:{place + 1}"),),
             )
         )
 
     @rule(server=st.sampled_from(SERVERS), refused=st.booleans())
     def connect_fails(self, server: str, refused: bool) -> None:
-        if not self.links[server]:
-            self.put(m.LinkDown(server, None, refused))
+        if not self.link_is_up[server]:
+            self.put(model.LinkDown(server, None, refused))
             if refused:
-                self.servers.standing = {c: s for c, s in self.servers.standing.items() if s != server}
+                self.servers.established = {c: s for c, s in self.servers.established.items() if s != server}
 
     @rule(call=calls)
     def server_answers(self, call: str) -> None:
-        if (server := self.servers.out.pop(call, None)) is not None:
-            self.servers.standing[call] = server
-            self.put(m.ServerAnswered(server, call, f"of {call}", None))
+        if (server := self.servers.in_flight.pop(call, None)) is not None:
+            self.servers.established[call] = server
+            self.put(model.ServerAnswered(server, call, f"of {call}", None))
 
     @rule(call=calls, server=st.sampled_from(SERVERS))
     def answer_out_of_turn(self, call: str, server: str) -> None:
-        if call not in self.servers.out and call not in self.servers.standing:
-            before = self.words(call)
-            self.put(m.ServerAnswered(server, call, "late", None))
-            assert self.words(call) == before
+        if call not in self.servers.in_flight and call not in self.servers.established:
+            before = self.outcomes(call)
+            self.put(model.ServerAnswered(server, call, "late", None))
+            assert self.outcomes(call) == before
 
     @rule(call=calls, cause=st.sampled_from([17, 34, 41, 47, 102, 16]))
     def server_releases(self, call: str, cause: int) -> None:
-        server = self.servers.out.get(call) or self.servers.standing.pop(call, None)
+        server = self.servers.in_flight.get(call) or self.servers.established.pop(call, None)
         if server is not None:
-            self.servers.ended(call, cause == m.CAUSE_INTERRUPTED)
-            result = {34: api.Result.FULL, 41: api.Result.RESET, 102: api.Result.NOT_SENT}.get(
-                cause, api.Result.ERROR
+            self.servers.end_attempt(call, cause == model.CAUSE_INTERRUPTED)
+            result = {
+                34: interface.Result.FULL,
+                41: interface.Result.RESET,
+                102: interface.Result.NOT_SENT,
+            }.get(cause, interface.Result.ERROR)
+            self.put(
+                model.ServerReleased(server, call, cause, result, interface.RefusalReason.UNSPECIFIED, None)
             )
-            self.put(m.ServerReleased(server, call, cause, result, api.RefusalReason.UNSPECIFIED, None))
 
     @rule(by_ms=st.sampled_from([1.0, 25.0, 199.0, 200.0, 1000.0]))
     def time_passes(self, by_ms: float) -> None:
@@ -275,26 +279,26 @@
             by_ms -= 25.0
             self.planner.step()
 
-    # -- what always holds ----------------------------------------------------------------------------
+    # -- invariants -----------------------------------------------------------------------------------
     @invariant()
     def one_outcome_each(self) -> None:
-        for call, request in self.asked.items():
-            heard = self.words(call)
-            assert all(len(words) <= 1 for words in heard), "two outcomes on one connection"
-            kinds = {word for words in heard for word in words}
-            assert len(kinds) <= 1, "two outcomes that differ"
+        for call, request in self.requests.items():
+            received = self.outcomes(call)
+            assert all(len(words) <= 1 for words in received), "two outcomes on one connection"
+            kinds = {word for words in received for word in words}
+            assert len(kinds) <= 1, "two different outcomes"
             for word in kinds:
-                assert not isinstance(word, m.Answered) or word.description == f"of {call}"
+                assert not isinstance(word, model.Answered) or word.description == f"of {call}"
             late = self.clock.now_ms() > request.expires_ms - DEADLINE_MARGIN_MS + 25.0
-            if late and self.at[call].open and call not in self.left:
-                assert kinds, "its caller's time is over and it heard nothing"
+            if late and self.caller_of[call].open and call not in self.abandoned:
+                assert kinds, "no outcome although the caller's deadline has passed"
 
     def teardown(self) -> None:
         self.time_passes(9000.0)
         assert self.planner.calls.open_count == 0
-        assert not self.servers.out, "an attempt is left out"
-        for call in self.servers.standing:
-            assert any(self.words(call)), "a call stands for nobody"
+        assert not self.servers.in_flight, "an attempt is still in flight"
+        for call in self.servers.established:
+            assert any(self.outcomes(call)), "an established call without a caller"
 
 
 TestCalls = Calls.TestCase
@@ -318,7 +322,7 @@
 
 
 def test_an_answer_out_of_turn_changes_nothing_where_the_attempt_is_not_written() -> None:
-    """Found with another seed: with 16 ms left the attempt that is taken back ends as a refusal."""
+    """Found with another seed: with 16 ms left, withdrawing the attempt ends the call with a refusal."""
     calls = Calls()
     calls.link_changes("s1")
     calls.link_changes("s0")
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -1,4 +1,7 @@
-"""A process that stood still reads late what came meanwhile: no caller may be told after it has left."""
+"""A process pause delays reading input: callers must still get their outcomes before they leave.
+
+A caller counts its time from when it sent the set-up, so the time that a set-up spent unread is subtracted.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,11 @@
 from tests.peers import OPERATOR, Peer, Stage
 
 A, B = (f"{n:016x}" for n in range(0xA0, 0xA2))
-STOOD_MS = 3000.0
+PAUSE_MS = 3000.0
 
 
 class MachineTime:
-    """The machine's clock, moved by the test."""
+    """Stands in for the system clock, set by the test."""
 
     def __init__(self) -> None:
         self.now_s = 1000.0
@@ -36,19 +39,19 @@
     return made
 
 
-def test_a_gap_longer_than_any_threads_wait_is_a_standstill(machine: MachineTime) -> None:
+def test_a_read_gap_longer_than_allowed_is_a_pause(machine: MachineTime) -> None:
     clock = SystemClock()
     clock.detect_pauses(FRESH_MS)
     machine.now_s += FRESH_MS / 1000.0
     clock.now_ms()
     assert clock.last_pause is None
-    began_ms = clock.now_ms()
-    machine.now_s += STOOD_MS / 1000.0
-    assert clock.now_ms() == began_ms + STOOD_MS
-    assert clock.last_pause == ProcessPause(began_ms, began_ms + STOOD_MS)
+    start_ms = clock.now_ms()
+    machine.now_s += PAUSE_MS / 1000.0
+    assert clock.now_ms() == start_ms + PAUSE_MS
+    assert clock.last_pause == ProcessPause(start_ms, start_ms + PAUSE_MS)
 
 
-def test_a_clock_that_need_not_be_read_often_finds_none(machine: MachineTime) -> None:
+def test_a_clock_without_a_read_interval_detects_no_pause(machine: MachineTime) -> None:
     clock = SystemClock()
     clock.now_ms()
     machine.now_s += 3600.0
@@ -56,11 +59,11 @@
     assert clock.last_pause is None
 
 
-def test_what_is_read_after_the_backlog_has_not_lain_unread() -> None:
-    found = ProcessPause(1000.0, 4000.0)
-    assert found.max_unread_ms(4000.0) == 3000.0
-    assert found.max_unread_ms(4000.0 + PAUSE_BACKLOG_MS) == 3000.0 + PAUSE_BACKLOG_MS
-    assert found.max_unread_ms(4001.0 + PAUSE_BACKLOG_MS) == 0.0
+def test_input_read_after_the_backlog_period_was_not_waiting() -> None:
+    pause = ProcessPause(1000.0, 4000.0)
+    assert pause.max_unread_ms(4000.0) == 3000.0
+    assert pause.max_unread_ms(4000.0 + PAUSE_BACKLOG_MS) == 3000.0 + PAUSE_BACKLOG_MS
+    assert pause.max_unread_ms(4001.0 + PAUSE_BACKLOG_MS) == 0.0
 
 
 @pytest.fixture(params=[False, True], ids=["lines", "websocket"])
@@ -70,37 +73,37 @@
     made.end()
 
 
-def time_given(stage: Stage, caller: Peer, call: str, left_ms: int) -> float:
-    """For how long the booking server that gets the set-up may take."""
+def attempt_time_ms(stage: Stage, caller: Peer, call: str, left_ms: int) -> float:
+    """Time limit of the attempt that results from a new set-up."""
     sent = len(stage.attempts)
     caller.set_up(call, left_ms=left_ms)
     stage.until(lambda: len(stage.attempts) > sent)
     return stage.attempts[sent][3]
 
 
-def test_a_set_up_that_lay_unread_is_answered_before_its_caller_may_have_left(stage: Stage) -> None:
-    """Sent as the standstill began, it has 3 s less than it says; its booking server says nothing."""
+def test_a_set_up_unread_during_a_pause_is_answered_before_its_caller_may_have_left(stage: Stage) -> None:
+    """Sent as the pause began, it has 3 s less left than it states; the booking server never answers."""
     caller = stage.caller()
     now_ms = stage.clock.now_ms()
-    stage.clock.last_pause = ProcessPause(now_ms - STOOD_MS, now_ms)
-    assert time_given(stage, caller, A, 4000) <= 4000.0 - STOOD_MS
-    assert time_given(stage, caller, B, 2250) <= LEAST_LEFT_MS
+    stage.clock.last_pause = ProcessPause(now_ms - PAUSE_MS, now_ms)
+    assert attempt_time_ms(stage, caller, A, 4000) <= 4000.0 - PAUSE_MS
+    assert attempt_time_ms(stage, caller, B, 2250) <= LEAST_LEFT_MS
     stage.advance(LEAST_LEFT_MS)
     assert caller.hear()["id"] == B
-    stage.advance(4000.0 - STOOD_MS - LEAST_LEFT_MS)
+    stage.advance(4000.0 - PAUSE_MS - LEAST_LEFT_MS)
     assert caller.hear()["id"] == A
 
 
-def test_a_set_up_has_its_whole_time_once_the_backlog_is_read(stage: Stage) -> None:
+def test_a_set_up_has_its_full_time_after_the_backlog_period(stage: Stage) -> None:
     caller = stage.caller()
     now_ms = stage.clock.now_ms()
-    stage.clock.last_pause = ProcessPause(now_ms - STOOD_MS, now_ms)
+    stage.clock.last_pause = ProcessPause(now_ms - PAUSE_MS, now_ms)
     stage.advance(PAUSE_BACKLOG_MS + 5.0)
-    assert time_given(stage, caller, A, 4000) > 4000.0 - STOOD_MS
+    assert attempt_time_ms(stage, caller, A, 4000) > 4000.0 - PAUSE_MS
 
 
-class NotingClock(clocks.ManualClock):
-    """Notes how often its readers say that they read it."""
+class RecordingClock(clocks.ManualClock):
+    """Records the read gaps that its users announce."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -111,11 +114,11 @@
 
 
 @pytest.mark.parametrize(("board", "gaps_ms"), [("127.0.0.1:9", [FRESH_MS]), ("", [])])
-def test_only_a_proxy_that_follows_a_board_looks_for_standstills(board: str, gaps_ms: list[float]) -> None:
-    """The board's thread reads the clock so often; without it a long gap may be rest."""
+def test_only_a_proxy_that_follows_a_notice_board_detects_pauses(board: str, gaps_ms: list[float]) -> None:
+    """The board's thread reads the clock regularly; without it, a long gap may just be idle time."""
     table = tomllib.loads(OPERATOR.read_text()) | {"listen": "127.0.0.1:0", "board": board}
     del table["eureka"], table["websocket"]
-    clock = NotingClock()
+    clock = RecordingClock()
     node = Node(configuration.read(table, {}), clock)
     for front in node.fronts:
         front.stop_accepting()
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""What a stop, a drain or a slow reader must not lose: on sockets, with no thread's luck in it."""
+"""A stop, a drain or a slow reader must not lose messages.  No test depends on thread timing."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 import pytest
 
-from capershelf import interface as api
-from capershelf.core import model as m
+from capershelf import interface
+from capershelf.core import model
 from capershelf.core.clock import ManualClock, SystemClock
 from capershelf.core.planner import Planner
 from capershelf.fronts.listener import Listener
@@ -31,102 +31,104 @@
 SETTINGS = settings(release_ms=200.0)
 
 
-def planner_with(
-    standing: api.ServerStatus = api.ServerStatus.ACTIVE,
+def make_planner(
+    status: interface.ServerStatus = interface.ServerStatus.ACTIVE,
 ) -> tuple[Planner, FakeServers, ManualClock]:
     clock = ManualClock()
     planner = Planner(SETTINGS, 1, clock, 500.0)
     planner.servers = servers = FakeServers(clock)
-    planner.submit_update(news(1, "s0", standing))
-    planner.submit_update(news(2, "s1", api.ServerStatus.ACTIVE))
+    planner.submit_update(list_update(1, "s0", status))
+    planner.submit_update(list_update(2, "s1", interface.ServerStatus.ACTIVE))
     for server in ("s0", "s1"):
-        planner.inbox.put(m.LinkUp(server, 1))
-    go_on(planner)
+        planner.inbox.put(model.LinkUp(server, 1))
+    run_pending(planner)
     return planner, servers, clock
 
 
-def news(version: int, server: str, standing: api.ServerStatus) -> m.ServerListUpdate:
-    place = int(server[1:])
-    return m.ServerListUpdate(
-        version, False, (m.LocatedServer(listed(server, place, standing), f"127.0.0.1:{place + 1}"),)
+def list_update(version: int, server: str, status: interface.ServerStatus) -> model.ServerListUpdate:
+    pool = int(server[1:])
+    return model.ServerListUpdate(
+        version, False, (model.LocatedServer(listed(server, pool, status), f"127.0.0.1:{pool + 1}"),)
     )
 
 
-def go_on(planner: Planner) -> None:
+def run_pending(planner: Planner) -> None:
     while not planner.inbox.empty():
         planner.step()
 
 
-def request(number: int, left_ms: float = 5000.0, now_ms: float = 1_000_000.0) -> m.SetUp:
-    return m.SetUp(f"{number:016x}", "usual", now_ms + left_ms, f"n{number}", "sdp", 0)
+def request(number: int, left_ms: float = 5000.0, now_ms: float = 1_000_000.0) -> model.SetUp:
+    return model.SetUp(f"{number:016x}", "usual", now_ms + left_ms, f"n{number}", "sdp", 0)
 
 
-def test_news_of_a_drain_goes_before_the_set_ups_that_wait_for_a_late_planner() -> None:
-    planner, servers, _ = planner_with()
+def test_a_drain_update_is_handled_before_set_ups_queued_in_the_inbox() -> None:
+    planner, servers, _ = make_planner()
     for number in range(1, 4):
-        planner.inbox.put(m.SetUpReceived(request(number), FakeCaller(False)))
-    servers.drains.add("s0")  # from here on the stand-in takes a set-up there for a broken rule
-    planner.submit_update(news(3, "s0", api.ServerStatus.DRAINING))
-    go_on(planner)
-    assert set(servers.out.values()) == {"s1"}
-
-
-def test_a_set_up_that_waits_for_its_link_does_not_go_to_a_server_that_drains_meanwhile() -> None:
-    planner, servers, _ = planner_with()
-    planner.inbox.put(m.LinkDown("s0", 1))
-    planner.inbox.put(m.SetUpReceived(request(1), FakeCaller(False)))
-    go_on(planner)
-    assert not servers.out
-    servers.drains.add("s0")
-    planner.submit_update(news(3, "s0", api.ServerStatus.DRAINING))
-    planner.inbox.put(m.LinkUp("s0", 2))
-    go_on(planner)
-    assert list(servers.out.values()) == ["s1"]
-
-
-def test_a_planner_told_to_stop_waits_for_a_set_up_that_is_on_its_way_to_it() -> None:
-    planner, _, clock = planner_with()
-    owed, caller = 1, FakeCaller(False)
-    planner.pending_set_ups = lambda: owed
-    planner.inbox.put(m.Stop(clock.now_ms() + 9000.0, clock.now_ms() + 3000.0))
-    go_on(planner)
+        planner.inbox.put(model.SetUpReceived(request(number), FakeCaller(False)))
+    servers.draining.add("s0")  # from here on FakeServers rejects set-ups to it
+    planner.submit_update(list_update(3, "s0", interface.ServerStatus.DRAINING))
+    run_pending(planner)
+    assert set(servers.in_flight.values()) == {"s1"}
+
+
+def test_a_set_up_waiting_for_its_link_is_not_sent_to_a_server_that_starts_draining() -> None:
+    planner, servers, _ = make_planner()
+    planner.inbox.put(model.LinkDown("s0", 1))
+    planner.inbox.put(model.SetUpReceived(request(1), FakeCaller(False)))
+    run_pending(planner)
+    assert not servers.in_flight
+    servers.draining.add("s0")
+    planner.submit_update(list_update(3, "s0", interface.ServerStatus.DRAINING))
+    planner.inbox.put(model.LinkUp("s0", 2))
+    run_pending(planner)
+    assert list(servers.in_flight.values()) == ["s1"]
+
+
+def test_a_stopping_planner_waits_for_a_set_up_that_has_not_reached_it_yet() -> None:
+    planner, _, clock = make_planner()
+    pending, caller = 1, FakeCaller(False)
+    planner.pending_set_ups = lambda: pending
+    planner.inbox.put(model.Stop(clock.now_ms() + 9000.0, clock.now_ms() + 3000.0))
+    run_pending(planner)
     assert not planner.finished()
-    planner.inbox.put(m.SetUpReceived(request(1), caller))
-    go_on(planner)
+    planner.inbox.put(model.SetUpReceived(request(1), caller))
+    run_pending(planner)
     planner.inbox.put(
-        m.ServerReleased("s0", request(1).id, 17, api.Result.ERROR, api.RefusalReason.NUMBER_BUSY, None)
+        model.ServerReleased(
+            "s0", request(1).id, 17, interface.Result.ERROR, interface.RefusalReason.NUMBER_BUSY, None
+        )
     )
-    go_on(planner)
-    assert [type(word) for word in caller.heard] == [m.Failed]
-    owed = 0
+    run_pending(planner)
+    assert [type(word) for word in caller.received] == [model.Failed]
+    pending = 0
     assert planner.finished()
 
 
-def test_whoever_still_waits_is_given_an_outcome_before_the_platform_kills() -> None:
-    planner, _, clock = planner_with()
+def test_open_calls_get_an_outcome_before_the_platform_kills_the_process() -> None:
+    planner, _, clock = make_planner()
     caller = FakeCaller(False)
-    planner.inbox.put(m.SetUpReceived(request(1), caller))
-    planner.inbox.put(m.Stop(clock.now_ms() + 9000.0, clock.now_ms() + 300.0))
-    go_on(planner)
+    planner.inbox.put(model.SetUpReceived(request(1), caller))
+    planner.inbox.put(model.Stop(clock.now_ms() + 9000.0, clock.now_ms() + 300.0))
+    run_pending(planner)
     clock.advance(299.0)
-    go_on(planner)
-    assert not caller.heard and not planner.finished()
+    run_pending(planner)
+    assert not caller.received and not planner.finished()
     clock.advance(1.0)
-    go_on(planner)
-    assert caller.heard == [m.Refused(request(1).id)] and planner.finished()
+    run_pending(planner)
+    assert caller.received == [model.Refused(request(1).id)] and planner.finished()
 
 
-class Door:
-    """A listener whose accepting thread has not come to it yet."""
+class ListenerRig:
+    """A listener whose accepting thread is not started yet."""
 
     def __init__(self) -> None:
-        self.put = queue.SimpleQueue[m.Event]()
+        self.put = queue.SimpleQueue[model.Event]()
         self.house = House(
             SystemClock(), Terms.of(SETTINGS), lambda call: self.put.put, self.every, lambda: True, False
         )
         self.listener = Listener("127.0.0.1:0", lambda full: Lines(), 10, self.house)
 
-    def every(self, event: m.Event) -> int:
+    def every(self, event: model.Event) -> int:
         self.put.put(event)
         return 1
 
@@ -139,85 +141,85 @@
         caller.say("setup", call, fields=fields, sdp="v=0")
 
 
-def test_a_connection_that_only_the_machine_has_accepted_is_still_answered() -> None:
-    door = Door()
-    caller = door.caller()
-    door.set_up(caller, "00000000000000a1")
-    door.house.close()
-    door.listener.stop_accepting()
-    door.listener.close_all(door.house.clock.now_ms() + 1000.0 * PATIENCE_S)
+def test_a_connection_accepted_only_by_the_kernel_is_still_answered() -> None:
+    rig = ListenerRig()
+    caller = rig.caller()
+    rig.set_up(caller, "00000000000000a1")
+    rig.house.close()
+    rig.listener.stop_accepting()
+    rig.listener.close_all(rig.house.clock.now_ms() + 1000.0 * PATIENCE_S)
     assert caller.hear() == {"type": "release", "id": "00000000000000a1", "fields": {}, "cause": 34}
     assert caller.closed.wait(PATIENCE_S)
 
 
-def test_a_caller_that_is_just_being_let_in_at_the_close_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    door, inside, on = Door(), threading.Event(), threading.Event()
-    admit = door.listener._admit
+def test_a_caller_being_admitted_during_the_close_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+    rig, entered, resume = ListenerRig(), threading.Event(), threading.Event()
+    admit = rig.listener._admit
 
-    def held(sock: socket.socket, name: str) -> None:
-        inside.set()
-        assert on.wait(PATIENCE_S)
+    def delayed_admit(sock: socket.socket, name: str) -> None:
+        entered.set()
+        assert resume.wait(PATIENCE_S)
         admit(sock, name)
 
-    monkeypatch.setattr(door.listener, "_admit", held)
-    door.listener.start()
-    caller = door.caller()
-    door.set_up(caller, "00000000000000a1")
-    assert inside.wait(PATIENCE_S)
-    door.house.close()
-    door.listener.stop_accepting()
-    over = start_thread(
-        lambda: door.listener.close_all(door.house.clock.now_ms() + 1000.0 * PATIENCE_S), "close"
+    monkeypatch.setattr(rig.listener, "_admit", delayed_admit)
+    rig.listener.start()
+    caller = rig.caller()
+    rig.set_up(caller, "00000000000000a1")
+    assert entered.wait(PATIENCE_S)
+    rig.house.close()
+    rig.listener.stop_accepting()
+    closing = start_thread(
+        lambda: rig.listener.close_all(rig.house.clock.now_ms() + 1000.0 * PATIENCE_S), "close"
     )
-    until(lambda: door.listener._closing)
-    assert over.is_alive(), "the accepting thread still has one in hand"
-    on.set()
+    until(lambda: rig.listener._closing)
+    assert closing.is_alive(), "the accepting thread is still admitting a caller"
+    resume.set()
     assert caller.hear() == {"type": "release", "id": "00000000000000a1", "fields": {}, "cause": 34}
     assert caller.closed.wait(PATIENCE_S)
 
 
-def test_a_set_up_taken_is_owed_until_its_outcome_and_none_is_taken_after_the_close() -> None:
-    door = Door()
-    door.listener.start()
-    caller = door.caller()
-    door.set_up(caller, "00000000000000a1")
-    while not isinstance(came := door.put.get(timeout=PATIENCE_S), m.SetUpReceived):
+def test_an_accepted_set_up_is_pending_until_its_outcome_and_none_is_accepted_after_the_close() -> None:
+    rig = ListenerRig()
+    rig.listener.start()
+    caller = rig.caller()
+    rig.set_up(caller, "00000000000000a1")
+    while not isinstance(event := rig.put.get(timeout=PATIENCE_S), model.SetUpReceived):
         pass
-    door.house.close()
-    assert door.house.owed == 1
-    door.set_up(caller, "00000000000000a2")
+    rig.house.close()
+    assert rig.house.owed == 1
+    rig.set_up(caller, "00000000000000a2")
     assert caller.hear()["id"] == "00000000000000a2"
-    came.caller.notify(m.Refused(came.request.id))
-    assert isinstance(door.put.get(timeout=PATIENCE_S), m.InboxBarrier), (
-        "the planner that waits for it is woken"
+    event.caller.notify(model.Refused(event.request.id))
+    assert isinstance(rig.put.get(timeout=PATIENCE_S), model.InboxBarrier), (
+        "the planner waiting for the outcome is woken"
     )
-    assert door.house.owed == 0
-    door.listener.stop_accepting()
-    door.listener.close_all()
+    assert rig.house.owed == 0
+    rig.listener.stop_accepting()
+    rig.listener.close_all()
 
 
-def slow_pair() -> tuple[Connection, socket.socket, list[str]]:
-    """A connection whose peer does not read, filled until messages wait in its outbox."""
+def blocked_connection() -> tuple[Connection, socket.socket, list[str]]:
+    """A connection whose peer does not read, filled until messages remain in its write queue."""
     near, far = socket.socketpair()
     near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     connection = Connection(near, Lines(), lambda line: None, lambda: None, "slow", SystemClock(), math.inf)
     connection.start()
-    said: list[str] = []
+    queued: list[str] = []
     while connection.written():
-        said.append(json.dumps({"number": len(said), "filling": "x" * 3000}))
-        assert connection.post(said[-1].encode())
-    return connection, far, said
+        queued.append(json.dumps({"number": len(queued), "filling": "x" * 3000}))
+        assert connection.post(queued[-1].encode())
+    return connection, far, queued
 
 
-def lines_of(far: socket.socket) -> list[Any]:
+def received_lines(far: socket.socket) -> list[Any]:
     data = b""
     while more := far.recv(65536):
         data += more
     return data.decode().split("\n")
 
 
-def test_a_set_up_in_an_outbox_can_be_taken_back_until_its_first_byte_is_written() -> None:
-    connection, far, said = slow_pair()
+def test_a_queued_set_up_can_be_withdrawn_until_its_first_byte_is_written() -> None:
+    connection, far, queued = blocked_connection()
     for tag in ("a", "b", "c"):
         assert connection.post(tag.encode(), tag)
     assert connection.withdraw("b") == {"b"}
@@ -225,11 +227,11 @@
     assert connection.withdraw() == set()
     assert connection.post(b"last")
     connection.finish()
-    assert lines_of(far) == [*said, "last", ""]
+    assert received_lines(far) == [*queued, "last", ""]
 
 
-def read_until_half_written(connection: Connection, far: socket.socket) -> None:
-    """Read on the far side until a part of the message of 40,001 bytes under the tag "a" is written."""
+def read_until_partly_written(connection: Connection, far: socket.socket) -> None:
+    """Read on the far side until the message of 40,001 bytes under the tag "a" is partly written."""
 
     def begun() -> bool:
         data, tag, _ = connection._outbox[0]
@@ -241,111 +243,114 @@
     until(begun)
 
 
-def test_one_that_is_half_written_is_broken_off_where_it_is_asked_for_by_name() -> None:
-    connection, far, _ = slow_pair()
+def test_a_partly_written_message_is_aborted_only_when_withdrawn_by_name() -> None:
+    connection, far, _ = blocked_connection()
     assert connection.post(b"y" * 40_000, "a")
-    read_until_half_written(connection, far)
-    assert connection.withdraw() == set(), "its first byte is out: it may arrive"
+    read_until_partly_written(connection, far)
+    assert connection.withdraw() == set(), "its first byte is written: it may arrive"
     assert connection.withdraw("a") == set()
-    assert lines_of(far)[-1] != "", "its rest never arrives"
+    assert received_lines(far)[-1] != "", "the remainder never arrives"
 
 
-def test_what_was_told_a_slow_reader_is_written_before_the_connection_ends() -> None:
-    connection, far, said = slow_pair()
+def test_messages_queued_for_a_slow_reader_are_written_before_the_connection_closes() -> None:
+    connection, far, queued = blocked_connection()
     connection.finish()
     assert not connection.post(b"too late")
-    assert lines_of(far) == [*said, ""]
+    assert received_lines(far) == [*queued, ""]
 
 
-def test_a_process_that_stood_still_sends_nothing_before_it_knows_what_the_list_has_told() -> None:
-    planner, servers, clock = planner_with()
+def test_after_a_pause_no_set_up_is_sent_until_the_list_is_up_to_date() -> None:
+    planner, servers, clock = make_planner()
     fresh = False
     planner.list_gate.is_fresh = lambda: fresh
-    planner.inbox.put(m.SetUpReceived(request(1), FakeCaller(False)))
-    go_on(planner)
-    assert not servers.out
-    servers.drains.add("s0")  # told while the process stood still, and read only now
-    planner.submit_update(news(3, "s0", api.ServerStatus.DRAINING))
+    planner.inbox.put(model.SetUpReceived(request(1), FakeCaller(False)))
+    run_pending(planner)
+    assert not servers.in_flight
+    servers.draining.add("s0")  # listed as draining during the pause, read only now
+    planner.submit_update(list_update(3, "s0", interface.ServerStatus.DRAINING))
     fresh = True
     clock.advance(5.0)
-    go_on(planner)
-    assert list(servers.out.values()) == ["s1"]
+    run_pending(planner)
+    assert list(servers.in_flight.values()) == ["s1"]
 
 
-def test_news_that_comes_while_a_set_up_is_on_its_way_out_goes_before_it() -> None:
-    planner, servers, clock = planner_with()
-    servers.drains.add("s0")
+def test_an_update_submitted_while_a_set_up_is_being_dispatched_is_handled_first() -> None:
+    planner, servers, clock = make_planner()
+    servers.draining.add("s0")
 
-    def fresh() -> bool:  # the registry's thread tells it at this very moment
-        if len(told) < 1:
-            told.append(1)
-            planner.submit_update(news(3, "s0", api.ServerStatus.DRAINING))
+    def fresh() -> bool:  # the registry's thread submits an update at this point
+        if len(submitted) < 1:
+            submitted.append(1)
+            planner.submit_update(list_update(3, "s0", interface.ServerStatus.DRAINING))
         return True
 
-    told: list[int] = []
-    asked: list[int] = []
+    submitted: list[int] = []
+    checks: list[int] = []
 
-    def counted() -> bool:
-        asked.append(1)
+    def counting_fresh() -> bool:
+        checks.append(1)
         return fresh()
 
-    planner.list_gate.is_fresh = counted
-    for number in range(1, 9):  # in one event: the last of them finds seven others that wait
-        planner.inbox.put(m.SetUpReceived(request(number), FakeCaller(False)))
+    planner.list_gate.is_fresh = counting_fresh
+    for number in range(1, 9):  # before one step: the last of them finds seven waiting
+        planner.inbox.put(model.SetUpReceived(request(number), FakeCaller(False)))
     planner.step()
-    assert not servers.out
+    assert not servers.in_flight
     for _ in range(8):
-        go_on(planner)
+        run_pending(planner)
         clock.advance(5.0)
-    assert set(servers.out.values()) == {"s1"} and len(servers.out) == 8
-    assert len(asked) < 40, "a round without end between those that wait"
+    assert set(servers.in_flight.values()) == {"s1"} and len(servers.in_flight) == 8
+    assert len(checks) < 40, "waiting set-ups must not keep rescheduling each other"
 
 
-def test_a_list_that_stays_away_holds_set_ups_for_a_moment_only_and_not_each_of_them() -> None:
-    planner, servers, clock = planner_with()
+def test_an_unavailable_list_holds_set_ups_only_briefly_and_only_once() -> None:
+    planner, servers, clock = make_planner()
     planner.list_gate.is_fresh = lambda: False
-    planner.inbox.put(m.SetUpReceived(request(1), FakeCaller(False)))
-    go_on(planner)
+    planner.inbox.put(model.SetUpReceived(request(1), FakeCaller(False)))
+    run_pending(planner)
     for _ in range(61):
         clock.advance(5.0)
-        go_on(planner)
-    assert len(servers.out) == 1
-    planner.inbox.put(m.SetUpReceived(request(2), FakeCaller(False)))
-    go_on(planner)
-    assert len(servers.out) == 2
+        run_pending(planner)
+    assert len(servers.in_flight) == 1
+    planner.inbox.put(model.SetUpReceived(request(2), FakeCaller(False)))
+    run_pending(planner)
+    assert len(servers.in_flight) == 2
 
 
-def test_calls_go_down_with_the_process_that_the_list_says_was_replaced_and_no_others() -> None:
-    planner, servers, clock = planner_with()
+def test_a_listed_restart_interrupts_only_the_calls_established_before_it() -> None:
+    planner, servers, clock = make_planner()
     callers = [FakeCaller(False), FakeCaller(False)]
     for number, caller in enumerate(callers, 1):
-        planner.inbox.put(m.SetUpReceived(request(number), caller))
-        go_on(planner)
-        assert servers.out[request(number).id] == "s0"
-        planner.inbox.put(m.ServerAnswered("s0", request(number).id, "sdp", None))
-        go_on(planner)
+        planner.inbox.put(model.SetUpReceived(request(number), caller))
+        run_pending(planner)
+        assert servers.in_flight[request(number).id] == "s0"
+        planner.inbox.put(model.ServerAnswered("s0", request(number).id, "sdp", None))
+        run_pending(planner)
         clock.advance(1000.0)
-    # Its machine was cut off and is back: no connect was refused, and the new process knows of neither.
-    again = m.LocatedServer(listed("s0", 0, api.ServerStatus.ACTIVE, 1_000_500.0), "127.0.0.1:1")
-    planner.submit_update(m.ServerListUpdate(3, False, (again,)))
-    go_on(planner)
-    assert callers[0].heard[1:] == [m.Ended(request(1).id, m.CAUSE_INTERRUPTED)]
-    assert not callers[1].heard[1:]
+    # The host was cut off and is back: no connect was refused, and the new process knows neither call.
+    restarted = model.LocatedServer(
+        listed("s0", 0, interface.ServerStatus.ACTIVE, 1_000_500.0), "127.0.0.1:1"
+    )
+    planner.submit_update(model.ServerListUpdate(3, False, (restarted,)))
+    run_pending(planner)
+    assert callers[0].received[1:] == [model.Ended(request(1).id, model.CAUSE_INTERRUPTED)]
+    assert not callers[1].received[1:]
 
 
-def test_every_call_taken_ends_once_where_a_process_is_told_to_stop(tmp_path: Path) -> None:
-    """One call is out, one waits for its release again and again, one for a connection, one stands, one comes
-    after the signal."""
+def test_every_accepted_call_ends_once_when_the_process_is_stopped(tmp_path: Path) -> None:
+    """Calls in each state: attempt in flight, waiting for a release gap, for a connection, established,
+    and one set up after the signal."""
     silent, resets = BookingServer(False), BookingServer(False)
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = f"127.0.0.1:{free.getsockname()[1]}"
-    never = socket.create_server(("127.0.0.1", 0), backlog=0)  # once it is full, no connection comes up
+    # Connects to it hang once its backlog is full.
+    unresponsive = socket.create_server(("127.0.0.1", 0), backlog=0)
     fillers = []
     for _ in range(4):
         fillers.append(socket.socket())
         fillers[-1].setblocking(False)
-        fillers[-1].connect_ex(never.getsockname())
-    endpoints = [silent.endpoint, resets.endpoint, "{}:{}".format(*never.getsockname())]
+        fillers[-1].connect_ex(unresponsive.getsockname())
+    endpoints = [silent.endpoint, resets.endpoint, "{}:{}".format(*unresponsive.getsockname())]
     targets = [
         {"uid": f"s{n}", "endpoint": endpoint, "pod_group": n, "state": "up", "boot_ms": 0}
         for n, endpoint in enumerate(endpoints)
@@ -354,8 +359,8 @@
         "listen": listen,
         "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"rev": 1, "all": True, "targets": targets}}]},
     }
-    places = [[0, 1, 2] for _ in config["settings"]["categories"]]
-    config["settings"]["family-info"]["pools-by-class"] = places
+    pools = [[0, 1, 2] for _ in config["settings"]["categories"]]
+    config["settings"]["family-info"]["pools-by-class"] = pools
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     program = Program(path)
@@ -378,23 +383,25 @@
                     links[1].say("release", got["id"], cause=41)
 
         threading.Thread(target=reset, daemon=True).start()
-        for place, name in enumerate(("out", "reset", "connects")):
-            caller.set_up(calls[name], extras=f"dest:{place}")
+        for pool, name in enumerate(("out", "reset", "connects")):
+            caller.set_up(calls[name], extras=f"dest:{pool}")
         assert silent.hear()["type"] == "setup"
         program.process.send_signal(signal.SIGTERM)
         program.says("told to stop")
         caller.set_up(calls["late"], extras="dest:1")
-        heard: dict[str, list[str]] = {}
-        while sum(map(len, heard.values())) < 4:
+        outcomes: dict[str, list[str]] = {}
+        while sum(map(len, outcomes.values())) < 4:
             got = caller.hear()
-            heard.setdefault(got["id"], []).append(got["type"])
-        assert heard == {calls[name]: ["release"] for name in ("out", "reset", "connects", "late")}
-        links[1].say("release", calls["stands"], cause=16)  # and what stands is still told its end
+            outcomes.setdefault(got["id"], []).append(got["type"])
+        assert outcomes == {calls[name]: ["release"] for name in ("out", "reset", "connects", "late")}
+        links[1].say(
+            "release", calls["stands"], cause=16
+        )  # the end of an established call is still delivered
         assert caller.hear()["id"] == calls["stands"]
         assert program.process.wait(PATIENCE_S) == 0
         assert caller.closed.wait(PATIENCE_S) and caller.got.empty()
     finally:
         program.process.kill()
         program.process.wait()
-        for sock in (never, *fillers):
+        for sock in (unresponsive, *fillers):
             sock.close()
--- a/tests/test_subset_running.py
+++ b/tests/test_subset_running.py
@@ -161,7 +161,7 @@
     rig = Rig()
     outside = next(number for number in range(SERVERS) if f"s{number}" not in rig.members)
     rig.call(1, outside)
-    (server,) = rig.servers.out.values()
+    (server,) = rig.servers.in_flight.values()
     assert server in rig.members
 
 
@@ -173,14 +173,14 @@
 def test_a_member_that_drains_is_replaced_and_gets_nothing_new() -> None:
     rig = Rig()
     drained = rig.members[0]
-    rig.servers.drains.add(drained)
+    rig.servers.draining.add(drained)
     rig.list(rig.entry(int(drained[1:]), api.ServerStatus.DRAINING))
     (substitute,) = set(rig.members) - {drained} - {"s"} - set(Rig().members)
     rig.up(substitute)
     for number in range(1, 30):
         rig.call(number, int(drained[1:]))
         rig.advance(25.0)
-    assert len(rig.members) == SIZE and drained not in rig.servers.out.values()
+    assert len(rig.members) == SIZE and drained not in rig.servers.in_flight.values()
 
 
 def test_a_call_that_stands_at_a_server_that_left_the_subset_ends_once() -> None:
@@ -194,9 +194,9 @@
     for other in before - {lost}:  # so that the substitute is asked
         rig.put(m.LinkDown(other, rig.planner._server_states[other].epoch))
     caller = rig.call(1, int(substitute[1:]))
-    assert rig.servers.out == {f"{1:016x}": substitute}
-    rig.servers.ended(f"{1:016x}", False)
-    rig.servers.standing[f"{1:016x}"] = substitute
+    assert rig.servers.in_flight == {f"{1:016x}": substitute}
+    rig.servers.end_attempt(f"{1:016x}", False)
+    rig.servers.established[f"{1:016x}"] = substitute
     rig.put(m.ServerAnswered(substitute, f"{1:016x}", "answer", None))
     for server in before:
         rig.up(server)
@@ -204,23 +204,23 @@
     assert rig.planner._server_states[substitute].draining, "it is not wanted any more"
     assert set(rig.members) == before
     rig.advance(3000.0)
-    assert [type(word) for word in caller.heard] == [m.Answered], "and the call stands on"
+    assert [type(word) for word in caller.received] == [m.Answered], "and the call stands on"
     rig.put(
         m.ServerReleased(
             substitute, f"{1:016x}", m.CAUSE_NORMAL, api.Result.ERROR, api.RefusalReason.UNSPECIFIED, None
         )
     )
-    assert [type(word) for word in caller.heard] == [m.Answered, m.Ended]
+    assert [type(word) for word in caller.received] == [m.Answered, m.Ended]
     rig.advance(2000.0)
     assert substitute not in rig.planner._server_states, "no link is held for it"
-    assert len(caller.heard) == 2
+    assert len(caller.received) == 2
 
 
 def test_with_all_members_gone_a_call_goes_to_a_server_that_is_found_before_it_is_refused() -> None:
     rig = Rig()
     before = set(rig.members)
     caller = rig.call(1, 0)
-    first = rig.servers.out.pop(f"{1:016x}")
+    first = rig.servers.in_flight.pop(f"{1:016x}")
     for server in before:
         rig.put(m.LinkDown(server, rig.planner._server_states[server].epoch, refused=True))
     rig.advance(225.0)
@@ -229,8 +229,8 @@
     for server in sorted(substitutes):
         rig.up(server)
     rig.advance(100.0)  # until its release is over
-    assert caller.heard == []
-    assert rig.servers.out[f"{1:016x}"] in substitutes - {first}
+    assert caller.received == []
+    assert rig.servers.in_flight[f"{1:016x}"] in substitutes - {first}
 
 
 # -- odd lists ----------------------------------------------------------------------------------------
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,7 @@
-"""A list whose open watch falls silent without a close: given up at an absolute time, then asked anew."""
+"""A notice board that goes silent during a watch without closing the connection.
+
+The watch must be given up at an absolute deadline and repeated on a new connection.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +20,12 @@
 
 
 class SilentBoard:
-    """Takes a watch and never finishes its answer; notes each connection's watch, and when it is given up."""
+    """Accepts watches but never completes a response; records each watch and each closed connection."""
 
-    def __init__(self, says: bytes, trickles: bool) -> None:
-        self.says, self.trickles = says, trickles
-        self.asked: queue.SimpleQueue[str] = queue.SimpleQueue()
-        self.given_up: queue.SimpleQueue[bool] = queue.SimpleQueue()
+    def __init__(self, response: bytes, keeps_sending: bool) -> None:
+        self.response, self.keeps_sending = response, keeps_sending
+        self.watches: queue.SimpleQueue[str] = queue.SimpleQueue()
+        self.closed: queue.SimpleQueue[bool] = queue.SimpleQueue()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = "{}:{}".format(*self.listener.getsockname())
         threading.Thread(target=self._accept, daemon=True).start()
@@ -34,21 +37,21 @@
                 threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _serve(self, sock: socket.socket) -> None:
-        self.asked.put(sock.recv(4096).decode().split("watch=")[1].split("&")[0])
+        self.watches.put(sock.recv(4096).decode().split("watch=")[1].split("&")[0])
         with contextlib.suppress(OSError):
-            sock.sendall(self.says)
+            sock.sendall(self.response)
             pause = threading.Event()
-            while self.trickles:  # something comes all the time: each wait by itself is short
+            while self.keeps_sending:  # keeps every single read short
                 sock.sendall(b" ")
                 pause.wait(0.02)
             while sock.recv(4096):
                 pass
-        self.given_up.put(True)
+        self.closed.put(True)
         sock.close()
 
 
 @pytest.mark.parametrize(
-    ("says", "trickles"),
+    ("response", "keeps_sending"),
     [
         (b"", False),
         (b"HTTP/1.1 2", False),
@@ -58,17 +61,19 @@
     ],
     ids=["nothing", "half a head", "half a body", "a byte now and then", "only that it goes on"],
 )
-def test_a_watch_that_falls_silent_is_given_up_and_asked_for_on_a_new_connection(
-    says: bytes, trickles: bool
+def test_a_silent_watch_is_given_up_and_repeated_on_a_new_connection(
+    response: bytes, keeps_sending: bool
 ) -> None:
-    board = SilentBoard(says, trickles)
+    board = SilentBoard(response, keeps_sending)
     clock = SystemClock()
     watcher = Board(board.address, {"rev": 7, "notices": []}, clock, lambda news: None)
     thread = threading.Thread(target=watcher.run, daemon=True)
-    began_ms = clock.now_ms()
+    start_ms = clock.now_ms()
     thread.start()
-    assert [board.asked.get(timeout=PATIENCE_S) for _ in range(2)] == ["7", "7"]
-    assert board.given_up.get(timeout=PATIENCE_S)
-    assert clock.now_ms() - began_ms >= LINGER_MS + GRACE_MS - 1.0, "before the board's time was over"
+    assert [board.watches.get(timeout=PATIENCE_S) for _ in range(2)] == ["7", "7"]
+    assert board.closed.get(timeout=PATIENCE_S)
+    assert clock.now_ms() - start_ms >= LINGER_MS + GRACE_MS - 1.0, (
+        "given up before the board's time was over"
+    )
     watcher.end()
     board.listener.close()
