--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -292,7 +292,7 @@
         return fresh()
 
     planner.list_gate.is_fresh = counting_fresh
-    for number in range(1, 9):  # before one step: the last of them finds seven waiting
+    for number in range(1, 9):  # all queued before the gate opens: the last finds seven others waiting
         planner.inbox.put(model.SetUpReceived(request(number), FakeCaller(False)))
     planner.step()
     assert not servers.in_flight
@@ -370,11 +370,11 @@
         caller = Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue())
         calls = {
             name: f"{number:016x}"
-            for number, name in enumerate(("stands", "out", "reset", "connects", "late"), 0xA0)
+            for number, name in enumerate(("established", "out", "reset", "connects", "late"), 0xA0)
         }
-        caller.set_up(calls["stands"], extras="dest:1")
+        caller.set_up(calls["established"], extras="dest:1")
         assert resets.hear()["type"] == "setup"
-        links[1].say("answer", calls["stands"], sdp="v=0")
+        links[1].say("answer", calls["established"], sdp="v=0")
         assert caller.hear()["type"] == "answer"
 
         def reset() -> None:
@@ -394,10 +394,9 @@
             got = caller.hear()
             outcomes.setdefault(got["id"], []).append(got["type"])
         assert outcomes == {calls[name]: ["release"] for name in ("out", "reset", "connects", "late")}
-        links[1].say(
-            "release", calls["stands"], cause=16
-        )  # the end of an established call is still delivered
-        assert caller.hear()["id"] == calls["stands"]
+        # The end of an established call is still delivered.
+        links[1].say("release", calls["established"], cause=16)
+        assert caller.hear()["id"] == calls["established"]
         assert program.process.wait(PATIENCE_S) == 0
         assert caller.closed.wait(PATIENCE_S) and caller.got.empty()
     finally:
