--- a/capershelf/core/clock.py
+++ b/capershelf/core/clock.py
@@ -63,6 +63,7 @@
         self.last_pause: ProcessPause | None = None
 
     def now_ms(self) -> float:
+        """The current time; it does not go back when the system clock is set back."""
         # No lock, as this runs several times per message: a race between threads can only leave _last_ms
         # some microseconds behind.
         now_ms = time.time() * 1000.0
@@ -74,6 +75,7 @@
         return now_ms
 
     def detect_pauses(self, max_read_gap_ms: float) -> None:
+        """Start detecting pauses from now on."""
         self.now_ms()  # the first gap begins here
         self._max_read_gap_ms = max_read_gap_ms
 
@@ -81,6 +83,7 @@
         """No effect: this clock is never advanced manually."""
 
     def seconds_until(self, deadline_ms: float) -> float | None:
+        """Seconds until the deadline, at most an hour; None if there is no deadline."""
         if deadline_ms == math.inf:
             return None
         return min(3600.0, max(0.0, (deadline_ms - self.now_ms()) / 1000.0))
@@ -95,18 +98,22 @@
         self.last_pause: ProcessPause | None = None
 
     def now_ms(self) -> float:
+        """The time that the clock was last advanced to."""
         return self._now_ms
 
     def add_waiter(self, waiter: Waiter) -> None:
+        """Register a waiter that advance() wakes."""
         self._waiters.append(waiter)
 
     def detect_pauses(self, max_read_gap_ms: float) -> None:
         """No effect: a test that simulates a pause sets last_pause."""
 
     def seconds_until(self, deadline_ms: float) -> float | None:
+        """0 if the deadline has passed, else None: only advance() can bring it closer."""
         return 0.0 if deadline_ms <= self._now_ms else None
 
     def advance(self, by_ms: float) -> None:
+        """Move the clock forward and wake all waiters."""
         self._now_ms += by_ms
         for waiter in self._waiters:
             waiter.wake()
@@ -121,12 +128,15 @@
         clock.add_waiter(self)
 
     def put(self, item: T) -> None:
+        """Add an item.  Thread-safe."""
         self._queue.put(item)
 
     def empty(self) -> bool:
+        """Whether no item is queued."""
         return self._queue.empty()
 
     def wake(self) -> None:
+        """Make take() return without an item.  Thread-safe."""
         self._queue.put(None)
 
     def take(self, deadline_ms: float) -> T | None:
--- a/capershelf/core/timers.py
+++ b/capershelf/core/timers.py
@@ -19,6 +19,7 @@
         return (self.at_ms, self.number) < (other.at_ms, other.number)
 
     def cancel(self) -> None:
+        """Drop the callback; the timer still leaves the heap at its due time."""
         self.fire = _do_nothing
 
 
