--- a/capershelf/fronts/session.py
+++ b/capershelf/fronts/session.py
@@ -334,8 +334,8 @@
         A set-up's remaining time counts from when it was sent, which the message does not say; subtracting
         this keeps callers from receiving an outcome after they have left.
         """
-        standstill = self._clock.standstill
-        return standstill.unread_ms(now_ms) if standstill is not None else 0.0
+        standstill = self._clock.last_pause
+        return standstill.max_unread_ms(now_ms) if standstill is not None else 0.0
 
     def _handle_set_up(self, message: dict[str, object], now_ms: float) -> None:
         call = vocabulary.call_id(message)
