--- a/capershelf/fronts/listener.py
+++ b/capershelf/fronts/listener.py
@@ -94,7 +94,7 @@
         except Exception:  # such as no thread to be had
             with self._lock:
                 self._sessions.discard(session)
-            framing.done()
+            framing.release_buffers()
             raise
 
     def _make_room(self, most: int) -> bool:
@@ -108,7 +108,9 @@
         now_ms = self._house.clock.now_ms()
         with self._lock:
             found = [session for session in self._sessions if session.spare()]
-        found.sort(key=lambda session: (not session.silent, session.connection.half(), session.at_ms))
+        found.sort(
+            key=lambda session: (not session.silent, session.connection.has_partial_message(), session.at_ms)
+        )
         silent = [session for session in found if session.silent]
         if self._retire(silent, most):
             return True
--- a/capershelf/fronts/session.py
+++ b/capershelf/fronts/session.py
@@ -14,7 +14,7 @@
 from capershelf.core.clock import Clock, Inbox
 from capershelf.net import vocabulary
 from capershelf.net.connection import Connection
-from capershelf.net.framing import Framing, OverError
+from capershelf.net.framing import CloseConnectionError, Framing
 
 # A caller has so long
 HANDSHAKE_MS = 2000.0  # to finish a front's handshake,
@@ -69,7 +69,7 @@
     def __init__(
         self,
         clock: Clock,
-        terms: vocabulary.Terms,
+        terms: vocabulary.SetUpLimits,
         route: Route,
         every: Callable[[m.Event], int],
         ready: Callable[[], bool],
@@ -147,8 +147,8 @@
             name,
             self._clock,
             self.at_ms + HANDSHAKE_MS,
-            due=self._due,
-            on_foul=self._foul,
+            read_deadline=self._due,
+            on_invalid_message=self._foul,
         )
 
     # -- what the planners see ------------------------------------------------------------------------
@@ -163,7 +163,7 @@
             if self.calls_outlive_connection:
                 return True
             gone = self._gone
-        return not gone and not self.connection.hung_up()
+        return not gone and not self.connection.peer_has_closed()
 
     def give_up(self, call_id: str) -> None:
         """Its caller has called it off; the planner hears of it in its turn."""
@@ -183,7 +183,7 @@
                 self._stood += 1
                 self._strikes = max(0, self._strikes - 1)
                 self._credit += EARNED
-        return self.connection.post(vocabulary.word_bytes(word))
+        return self.connection.send(vocabulary.encode_caller_message(word))
 
     def call_ended(self, call_id: str) -> None:
         """A call of this caller's is over, whatever it is told of it."""
@@ -209,16 +209,16 @@
 
         at_once: its descriptor is needed, and is not left to when its peer hangs up too.
         """
-        if not self.connection.quiet():
+        if not self.connection.is_idle():
             return False
         with self._lock:
             if not self.spare():
                 return False
             self._leaving = True
-        if at_once and self.connection.written():
+        if at_once and self.connection.is_flushed():
             self.connection.close(1001, reason)
         else:
-            self.connection.finish(1001, reason)
+            self.connection.close_after_flush(1001, reason)
         return True
 
     # -- the connection's thread ----------------------------------------------------------------------
@@ -252,7 +252,7 @@
             for _ in range(self._house.every(m.CallerRejected(self, lambda: done.put(True)))):
                 done.take(now_ms + BARRED_MS)
         why = {"reason": reason[:100]}
-        return self.connection.post(vocabulary.encode("release", "", m.CAUSE_INVALID, fields=why))
+        return self.connection.send(vocabulary.encode("release", "", m.CAUSE_INVALID, fields=why))
 
     def _message(self, line: bytes) -> None:
         now_ms = self._clock.now_ms()
@@ -267,11 +267,11 @@
         if came:  # with its first message: a connection that says nothing costs the planners nothing
             self._house.every(m.CallerConnected(self))
         if spent:
-            raise OverError("too many messages to no effect", foul=True)
+            raise CloseConnectionError("too many messages to no effect", invalid_message=True)
         try:
             message = vocabulary.decode(line)
             self._take(message, now_ms)
-        except vocabulary.UnusableError as problem:
+        except vocabulary.InvalidSetUpError as problem:
             MUFFLE.warn(
                 now_ms,
                 "{peer}: call {call} can't be used: {problem}",
@@ -285,24 +285,28 @@
                 out = self._strikes > STRIKES
             self.notify(m.Failed(problem.id, m.CAUSE_INVALID))
             if out:
-                raise OverError("too many set-ups that can't be used", foul=True) from problem
-        except vocabulary.UnreadableError as problem:
-            raise OverError(f"a message that can't be read: {problem}", foul=True) from problem
+                raise CloseConnectionError(
+                    "too many set-ups that can't be used", invalid_message=True
+                ) from problem
+        except vocabulary.InvalidMessageError as problem:
+            raise CloseConnectionError(
+                f"a message that can't be read: {problem}", invalid_message=True
+            ) from problem
 
     def _take(self, message: dict[str, object], now_ms: float) -> None:
         kind = message["type"]
         if kind == "setup":
             self._set_up(message, now_ms)
         elif kind == "release":
-            named = vocabulary.call_id(message)
+            named = vocabulary.parse_call_id(message)
             if (asker := self._house.asker(named)) is not None:
                 asker.give_up(named)
-            self._house.route(named)(m.CallerReleased(named, vocabulary.cause_of(message, named), self))
+            self._house.route(named)(m.CallerReleased(named, vocabulary.parse_cause(message, named), self))
         elif kind == "ping":
             named = str(message.get("id", ""))[:16]
-            self.connection.post(vocabulary.encode("pong", named, int(self._house.ready())))
+            self.connection.send(vocabulary.encode("pong", named, int(self._house.ready())))
         elif kind not in ("progress", "released", "pong"):
-            raise vocabulary.UnreadableError(f"unknown type {str(kind)[:40]!r}")
+            raise vocabulary.InvalidMessageError(f"unknown type {str(kind)[:40]!r}")
 
     def _unread_ms(self, now_ms: float) -> float:
         """How long a set-up may have lain here while this process stood still.
@@ -314,12 +318,12 @@
         return standstill.unread_ms(now_ms) if standstill is not None else 0.0
 
     def _set_up(self, message: dict[str, object], now_ms: float) -> None:
-        named = vocabulary.call_id(message)
+        named = vocabulary.parse_call_id(message)
         with self._lock:
             if named in self._open or named in self._stands:
                 # Which of the two an outcome would be for, nobody could tell.
-                raise OverError(f"two set-ups under the id {named}", foul=True)
-        request = vocabulary.set_up_of(message, now_ms, self._house.terms)
+                raise CloseConnectionError(f"two set-ups under the id {named}", invalid_message=True)
+        request = vocabulary.parse_set_up(message, now_ms, self._house.terms)
         if (unread_ms := self._unread_ms(now_ms)) > 0.0:
             least_ms = min(request.expires_ms, now_ms + LEAST_LEFT_MS)
             request = replace(request, expires_ms=max(least_ms, request.expires_ms - unread_ms))
@@ -331,6 +335,6 @@
             if taken:
                 self._open[named] = size
         if not taken:
-            self.notify(m.Refused(named, self._house.terms.wait_ms))
+            self.notify(m.Refused(named, self._house.terms.retry_after_ms))
         else:
             self._house.route(named)(m.SetUpReceived(request, self))
--- a/capershelf/net/__init__.py
+++ b/capershelf/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and parsers: connections, framings, links to booking servers, an HTTP client."""
+"""Networking: connections, framings, protocol messages, links to booking servers, and an HTTP client."""
--- a/capershelf/net/buffers.py
+++ b/capershelf/net/buffers.py
@@ -1,32 +1,32 @@
-"""Buffers of one size, used again."""
+"""A pool of receive buffers of one size."""
 
 from __future__ import annotations
 
 import threading
 
-MESSAGE_BYTES = 16 * 1024  # no message holds more
-BUFFER_BYTES = MESSAGE_BYTES + 512  # a whole message with its line feed or frame header
-SPARE = 64  # buffers that are kept; the rest go back to the system
+MAX_MESSAGE_BYTES = 16 * 1024
+BUFFER_BYTES = MAX_MESSAGE_BYTES + 512  # a message with its line feed or frame header
+MAX_FREE_BUFFERS = 64  # unused buffers that are kept; further ones are freed
 
 
-class Pool:
-    """Hands out buffers; what is taken is given back once its connection has ended."""
+class BufferPool:
+    """Hands out buffers; each must be released once."""
 
     def __init__(self) -> None:
         self._free: list[bytearray] = []
         self._lock = threading.Lock()
-        self.out = 0
+        self.in_use = 0
 
-    def take(self) -> bytearray:
+    def acquire(self) -> bytearray:
         with self._lock:
-            self.out += 1
+            self.in_use += 1
             return self._free.pop() if self._free else bytearray(BUFFER_BYTES)
 
-    def give(self, buffer: bytearray) -> None:
+    def release(self, buffer: bytearray) -> None:
         with self._lock:
-            self.out -= 1
-            if len(self._free) < SPARE:
+            self.in_use -= 1
+            if len(self._free) < MAX_FREE_BUFFERS:
                 self._free.append(buffer)
 
 
-POOL = Pool()
+POOL = BufferPool()
--- a/capershelf/net/connection.py
+++ b/capershelf/net/connection.py
@@ -1,7 +1,8 @@
-"""A connection: one thread that reads, and a bounded outbox that only a slow peer ever fills.
+"""A framed socket connection with one reading thread and a bounded write queue.
 
-post() never waits: it writes what the socket takes at once and leaves the rest to a writer thread of the
-connection's own, so that a slow reader stalls only itself.  One that lets its outbox overflow is closed.
+send() never blocks: it writes what the socket accepts immediately and queues the remainder for a writer
+thread that belongs to this connection, so a slow peer delays only itself.  A connection whose write queue
+overflows is closed.
 """
 
 from __future__ import annotations
@@ -20,88 +21,90 @@
 from capershelf.core.clock import Clock
 from capershelf.core.model import WriteGate
 from capershelf.net.addresses import parse_endpoint, resolve
-from capershelf.net.buffers import MESSAGE_BYTES
-from capershelf.net.framing import Framing, OverError, Reply
+from capershelf.net.buffers import MAX_MESSAGE_BYTES
+from capershelf.net.framing import CloseConnectionError, Framing, Reply
 
-OUTBOX_BYTES = 64 * 1024
-DRAIN_MS = 250.0  # a peer that was told goodbye may take so long to hang up,
-DRAIN_BYTES = 64 * 1024  # and what it still sends is read so far: then it is hung up on
-FOUL = 1008  # the close code for a peer whose messages can't be dealt with, where the framing has codes
-STACK_BYTES = 256 * 1024
+MAX_WRITE_QUEUE_BYTES = 64 * 1024
+CLOSE_DRAIN_MS = 250.0  # how long a peer may take to close its end after the close frame
+CLOSE_DRAIN_BYTES = 64 * 1024  # how much of a peer's data is read and discarded meanwhile
+CLOSE_POLICY_VIOLATION = 1008  # close code for unprocessable messages, in framings that have close codes
+THREAD_STACK_BYTES = 256 * 1024
 
 
-def spawn(target: Callable[[], None]) -> None:
-    """A thread with a small stack that nobody will join.
+def start_detached_thread(target: Callable[[], None]) -> None:
+    """Start a thread with a small stack that is never joined.
 
-    Unlike threading's, this does not wait until the new thread runs: guards the thread that accepts callers
-    from standing in line with all the others, once for each caller.
+    Unlike threading.Thread.start(), this does not wait until the new thread runs.  The accepting thread would
+    otherwise wait, once per connection, for its turn among all running threads.
     """
-    threading.stack_size(STACK_BYTES)
+    threading.stack_size(THREAD_STACK_BYTES)
     _thread.start_new_thread(target, ())
 
 
 def start_thread(target: Callable[[], None], name: str) -> threading.Thread:
-    """A daemon thread with a small stack."""
-    threading.stack_size(STACK_BYTES)
+    """Start a daemon thread with a small stack."""
+    threading.stack_size(THREAD_STACK_BYTES)
     thread = threading.Thread(target=target, name=name, daemon=True)
     thread.start()
     return thread
 
 
 def connect(endpoint: str, clock: Clock, deadline_ms: float) -> socket.socket:
-    """A connected socket by the deadline, to the first address that takes it, or an OSError."""
+    """Connect by the deadline to the first address that accepts; OSError if none does."""
     host, port = parse_endpoint(endpoint)
-    problem = OSError(f"no address: {endpoint}")
+    last_error = OSError(f"no address: {endpoint}")
     for family, kind, protocol, _, address in resolve(host, port):
         sock = socket.socket(family, kind, protocol)
         try:
-            bound(sock, clock, deadline_ms)
+            set_timeout_until(sock, clock, deadline_ms)
             sock.connect(address)
-        except OSError as fault:
+        except OSError as error:
             sock.close()
-            problem = fault
+            last_error = error
             continue
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
-    raise problem
+    raise last_error
 
 
-def bound(sock: socket.socket, clock: Clock, deadline_ms: float) -> None:
-    """Let the socket wait no longer than to the deadline: here, and above, it becomes the socket's own."""
-    left = clock.seconds_until(deadline_ms)
-    if left == 0.0:
+def set_timeout_until(sock: socket.socket, clock: Clock, deadline_ms: float) -> None:
+    """Set the socket's timeout to the time until the deadline; TimeoutError if that has passed."""
+    remaining_s = clock.seconds_until(deadline_ms)
+    if remaining_s == 0.0:
         raise TimeoutError("the deadline is over")
-    sock.settimeout(left)
+    sock.settimeout(remaining_s)
 
 
-def readable(sock: socket.socket, clock: Clock, deadline_ms: float) -> bool:
-    """Wait for something to read; False at the deadline.
+def wait_readable(sock: socket.socket, clock: Clock, deadline_ms: float) -> bool:
+    """Wait until the socket is readable; False at the deadline.
 
-    The socket itself stays without a time-out: guards those who write to it from waiting along.
+    Polls instead of setting a socket timeout, which would also apply to threads that write to the socket.
     """
-    left = clock.seconds_until(deadline_ms)
-    waiting = select.poll()
-    waiting.register(sock, select.POLLIN)
-    return bool(waiting.poll(None if left is None else math.ceil(left * 1000.0)))
+    remaining_s = clock.seconds_until(deadline_ms)
+    poll = select.poll()
+    poll.register(sock, select.POLLIN)
+    return bool(poll.poll(None if remaining_s is None else math.ceil(remaining_s * 1000.0)))
 
 
-def writable(sock: socket.socket) -> None:
-    """Wait until something can be written, or until the socket is shut down."""
-    waiting = select.poll()
-    with contextlib.suppress(ValueError):  # closed meanwhile
-        waiting.register(sock, select.POLLOUT)
-        waiting.poll()
+def wait_writable(sock: socket.socket) -> None:
+    """Wait until the socket is writable or shut down."""
+    poll = select.poll()
+    with contextlib.suppress(ValueError):  # closed in the meantime
+        poll.register(sock, select.POLLOUT)
+        poll.poll()
 
 
 class Connection:
-    """A socket with its framing; on_opened, on_message and, once and last, on_closed are called on the thread
-    that reads.  A peer that has not finished the framing's handshake by open_by_ms is hung up on.
+    """A socket with its framing.
 
-    due is told since when half a message lies here (inf: none does) and says by when the peer must have
-    sent something; at that time the connection is over, unless on_late says that it may go on.  on_foul may
-    say last words to a peer that is hung up on, and tells whether it has.  Afterwards dropped says why this
-    end hung up, if it did.
+    on_opened, on_message and, once and last, on_closed are called on the reading thread.  A peer that has not
+    completed the framing's handshake by handshake_deadline_ms is disconnected.
+
+    read_deadline takes the time since which an incomplete message is buffered (inf: none is) and returns when
+    the peer must have sent more data.  At that time the connection is closed unless on_timeout returns True.
+    on_invalid_message may send a final message to a peer that is about to be disconnected; it returns whether
+    it did.  After the end, drop_reason holds why this side closed the connection, if it did.
     """
 
     def __init__(
@@ -112,64 +115,69 @@
         on_closed: Callable[[], None],
         name: str,
         clock: Clock,
-        open_by_ms: float,
+        handshake_deadline_ms: float,
         on_opened: Callable[[], None] = lambda: None,
-        due: Callable[[float], float] = lambda half_ms: math.inf,
-        on_foul: Callable[[str], bool] = lambda reason: False,
-        on_late: Callable[[], bool] = lambda: False,
+        read_deadline: Callable[[float], float] = lambda partial_since_ms: math.inf,
+        on_invalid_message: Callable[[str], bool] = lambda reason: False,
+        on_timeout: Callable[[], bool] = lambda: False,
     ) -> None:
         self.name = name
         self._sock = sock
         self._framing = framing
         self._on_message = on_message
         self._on_closed = on_closed
-        self._clock, self._open_by_ms, self._on_opened = clock, open_by_ms, on_opened
-        self._due, self._on_foul, self._on_late = due, on_foul, on_late
-        self._changed = threading.Condition()
-        # What is left of each message, its tag, and who is asked before its first byte.
-        self._outbox: deque[tuple[bytes, str, WriteGate | None]] = deque()
-        self._begun = False  # a part of the first of them has been written
-        self._queued = 0
+        self._clock, self._handshake_deadline_ms, self._on_opened = clock, handshake_deadline_ms, on_opened
+        self._read_deadline, self._on_invalid_message, self._on_timeout = (
+            read_deadline,
+            on_invalid_message,
+            on_timeout,
+        )
+        self._lock = threading.Condition()
+        # The unwritten part of each message, its tag, and the gate to check before its first byte.
+        self._write_queue: deque[tuple[bytes, str, WriteGate | None]] = deque()
+        self._head_started = False  # the first queued message is partly written
+        self._queued_bytes = 0
         self._writing = False
-        self._closed = self._opened = self._said = self._finishing = self._busy = False
-        self._half_ms = math.inf  # since when half a message lies here
-        self.dropped = ""
+        self._closed = self._opened = self._close_sent = self._closing_after_flush = self._processing = False
+        self._partial_since_ms = math.inf  # since when an incomplete message is buffered
+        self.drop_reason = ""
 
     def start(self) -> None:
-        spawn(self.read)
+        start_detached_thread(self.run)
 
-    def post(self, message: bytes, tag: str = "", gate: WriteGate | None = None) -> bool:
-        """Send a message; False if the connection is not open or its peer too slow.
+    def send(self, message: bytes, tag: str = "", gate: WriteGate | None = None) -> bool:
+        """Send a message; False if the connection is not open or its write queue overflows.
 
-        One with a tag can be taken back until its first byte has been written; one with a gate is written
-        only if that says so right before its first byte, whenever that may be, and is dropped else.
+        A message with a tag can be withdrawn until its first byte is written.  A message with a gate is
+        written only if the gate allows it immediately before the first byte, and is dropped otherwise.
         """
-        return self._framing.opened and self._post(self._framing.frame(message), tag, gate)
+        return self._framing.opened and self._enqueue(self._framing.frame(message), tag, gate)
 
     def withdraw(self, tag: str = "") -> set[str]:
-        """Take back what waits under this tag, or under any; the tags of which nothing was written.
+        """Remove queued messages with this tag, or with any tag; returns the tags of those removed.
 
-        One asked for by name that is half written is broken off with the connection: its rest never arrives.
+        If the message named by tag is partly written, the connection is closed so that it never arrives
+        complete.
         """
-        with self._changed:
-            first = self._outbox[0] if self._outbox else None
-            if tag and self._begun and first is not None and first[1] == tag:
-                self._shut()
+        with self._lock:
+            first = self._write_queue[0] if self._write_queue else None
+            if tag and self._head_started and first is not None and first[1] == tag:
+                self._shut_down()
                 return set()
-            found = {one[1] for one in self._outbox if one[1] and tag in ("", one[1])}
-            if self._begun and first is not None:
-                found.discard(first[1])
-            if found:
-                self._outbox = deque(one for one in self._outbox if one[1] not in found)
-                self._queued = sum(len(data) for data, _, _ in self._outbox)
-            return found
-
-    def _post(self, data: bytes, tag: str = "", gate: WriteGate | None = None) -> bool:
-        with self._changed:
-            if self._closed or self._finishing:
+            tags = {entry[1] for entry in self._write_queue if entry[1] and tag in ("", entry[1])}
+            if self._head_started and first is not None:
+                tags.discard(first[1])
+            if tags:
+                self._write_queue = deque(entry for entry in self._write_queue if entry[1] not in tags)
+                self._queued_bytes = sum(len(data) for data, _, _ in self._write_queue)
+            return tags
+
+    def _enqueue(self, data: bytes, tag: str = "", gate: WriteGate | None = None) -> bool:
+        with self._lock:
+            if self._closed or self._closing_after_flush:
                 return False
-            begun = False
-            if not self._outbox:
+            started = False
+            if not self._write_queue:
                 if gate is not None and not gate.may_write():
                     gate.on_dropped()
                     return True
@@ -178,86 +186,88 @@
                 except BlockingIOError:
                     sent = 0
                 except OSError:
-                    self._shut()
+                    self._shut_down()
                     return False
                 if sent == len(data):
                     return True
-                data, begun = data[sent:], sent > 0
-            if self._queued + len(data) > OUTBOX_BYTES:
-                logger.warning("{peer}: its peer reads too slowly, closed", event="peer-slow", peer=self.name)
-                self._shut()
+                data, started = data[sent:], sent > 0
+            if self._queued_bytes + len(data) > MAX_WRITE_QUEUE_BYTES:
+                logger.warning(
+                    "{peer}: peer reads too slowly, connection closed", event="peer-slow", peer=self.name
+                )
+                self._shut_down()
                 return False
-            self._outbox.append((data, tag, gate))
-            self._begun = self._begun or begun
-            self._queued += len(data)
+            self._write_queue.append((data, tag, gate))
+            self._head_started = self._head_started or started
+            self._queued_bytes += len(data)
             if not self._writing:
                 self._writing = True
-                spawn(self._write)
+                start_detached_thread(self._flush)
             return True
 
     def close(self, code: int = 1000, reason: str = "") -> None:
-        """End the connection; the reading thread then says so."""
-        if farewell := self._framing.farewell(code, reason):
-            self._post(farewell)
-        with self._changed:
-            self._shut()
-
-    def finish(self, code: int = 1000, reason: str = "") -> None:
-        """End the connection for this side once all that was posted is written; its peer hears that."""
-        if farewell := self._framing.farewell(code, reason):
-            self._post(farewell)
-        with self._changed:
-            self._finishing = True
-            if not self._outbox:
-                self._last_written()
-
-    def _last_written(self) -> None:
+        """Close the connection at once; the reading thread then calls on_closed."""
+        if close_frame := self._framing.close_frame(code, reason):
+            self._enqueue(close_frame)
+        with self._lock:
+            self._shut_down()
+
+    def close_after_flush(self, code: int = 1000, reason: str = "") -> None:
+        """Send a close frame and shut down writing once the write queue is empty; reading continues."""
+        if close_frame := self._framing.close_frame(code, reason):
+            self._enqueue(close_frame)
+        with self._lock:
+            self._closing_after_flush = True
+            if not self._write_queue:
+                self._shut_down_writing()
+
+    def _shut_down_writing(self) -> None:
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
-    def written(self) -> bool:
-        """Whether nothing waits to be written."""
-        return self._closed or not self._outbox
+    def is_flushed(self) -> bool:
+        """Whether the write queue is empty."""
+        return self._closed or not self._write_queue
 
-    def half(self) -> bool:
-        """Whether a part of a message lies here."""
-        return self._half_ms < math.inf
+    def has_partial_message(self) -> bool:
+        """Whether an incomplete message is buffered."""
+        return self._partial_since_ms < math.inf
 
-    def hung_up(self) -> bool:
-        """Whether the peer has closed its end, or the connection is gone, though nobody has read that yet."""
-        waiting = select.poll()
+    def peer_has_closed(self) -> bool:
+        """Whether the peer has closed its end or the connection is gone, even if that has not been read."""
+        poll = select.poll()
         try:
-            waiting.register(self._sock, select.POLLRDHUP)
-        except ValueError:  # closed here
+            poll.register(self._sock, select.POLLRDHUP)
+        except ValueError:  # closed on this side
             return True
-        return bool(waiting.poll(0))
+        return bool(poll.poll(0))
 
-    def quiet(self) -> bool:
-        """Whether nothing has come that is not dealt with yet; looked at in the order in which it is read."""
+    def is_idle(self) -> bool:
+        """Whether no received data is unread or in processing; checked in the order of reading."""
         try:
-            return not readable(self._sock, self._clock, -math.inf) and not self._busy
+            return not wait_readable(self._sock, self._clock, -math.inf) and not self._processing
         except ValueError:  # closed
-            return not self._busy
+            return not self._processing
 
-    def _shut(self) -> None:
+    def _shut_down(self) -> None:
         self._closed = True
         with contextlib.suppress(OSError):
-            self._sock.shutdown(socket.SHUT_RDWR)  # wakes the reader and a writer that is stuck
+            self._sock.shutdown(socket.SHUT_RDWR)  # wakes the reader and a blocked writer
 
-    def _write(self) -> None:
-        """Send the outbox, then end: the next overflow starts another writer."""
+    def _flush(self) -> None:
+        """Write until the queue is empty; the next message that has to be queued starts a new writer."""
         while True:
-            # Only with the lock, and no more than the socket takes: what has not begun can be taken back.
-            with self._changed:
-                if self._closed or not self._outbox:
+            # Under the lock and without blocking, so that messages not yet started can still be withdrawn.
+            with self._lock:
+                if self._closed or not self._write_queue:
                     self._writing = False
-                    if self._finishing:
-                        self._last_written()
+                    if self._closing_after_flush:
+                        self._shut_down_writing()
                     return
-                data, tag, gate = self._outbox[0]
-                if gate is not None and not self._begun and not gate.may_write():
-                    self._outbox.popleft()
-                    self._queued -= len(data)
+                data, tag, gate = self._write_queue[0]
+                if gate is not None and not self._head_started and not gate.may_write():
+                    self._write_queue.popleft()
+                    self._queued_bytes -= len(data)
                     gate.on_dropped()
                     continue
                 try:
@@ -266,61 +276,67 @@
                     sent = 0
                 except OSError:
                     self._writing = False
-                    self._shut()
+                    self._shut_down()
                     return
-                self._queued -= sent
-                self._begun = sent < len(data) and (sent > 0 or self._begun)
+                self._queued_bytes -= sent
+                self._head_started = sent < len(data) and (sent > 0 or self._head_started)
                 if sent == len(data):
-                    self._outbox.popleft()
+                    self._write_queue.popleft()
                     continue
-                self._outbox[0] = data[sent:], tag, gate
-            writable(self._sock)
+                self._write_queue[0] = data[sent:], tag, gate
+            wait_writable(self._sock)
 
-    def read(self) -> None:
-        """Read to the connection's end, on a thread of its own."""
+    def run(self) -> None:
+        """Read until the connection ends; runs on the connection's own thread."""
         if self.begin():
             while self._step(lambda: self._wait() and self.receive()):
                 pass
         self.end(drain=True)
 
-    # -- for a thread that reads many (net/poller.py): begin(), step() until it says no, then end() ----
+    # -- for an event loop (net/poller.py): begin(), then step() while it returns True, then end() ----
     def begin(self) -> bool:
-        """Before the first reading; False: it has ended already, as with step()."""
+        """Start before the first read; False: the connection has already ended, as with step()."""
         return self._step(self._begin)
 
     def step(self, readable_now: bool) -> bool:
-        """Something has come, or due_ms() is over; False: the connection has ended."""
-        return self._step(self.receive if readable_now else self._overdue)
+        """Handle readable data or a passed deadline_ms(); False: the connection has ended."""
+        return self._step(self.receive if readable_now else self._check_deadline)
 
-    def due_ms(self) -> float:
-        """When to look at it again if nothing has come."""
-        return self._due(self._half_ms) if self._opened else self._open_by_ms
+    def deadline_ms(self) -> float:
+        """When to call step() next if no data arrives."""
+        return self._read_deadline(self._partial_since_ms) if self._opened else self._handshake_deadline_ms
 
     def end(self, drain: bool = False) -> None:
-        """Once, when it has ended; drain: there is time to wait for the peer to hear the last words."""
-        if drain and self._said:
+        """Release the connection after it has ended; drain: wait for the peer to read the close frame."""
+        if drain and self._close_sent:
             with contextlib.suppress(OSError):
                 self._drain()
-        with self._changed:
-            self._shut()
-            self._outbox.clear()
+        with self._lock:
+            self._shut_down()
+            self._write_queue.clear()
             self._sock.close()
-        self._framing.done()
+        self._framing.release_buffers()
         self._on_closed()
 
-    def _step(self, what: Callable[[], bool]) -> bool:
+    def _step(self, action: Callable[[], bool]) -> bool:
         try:
             try:
-                return what()
-            except OverError as over:
-                self.dropped = str(over)
-                said = over.foul and self._on_foul(self.dropped)
-                farewell = over.farewell or (self._framing.farewell(FOUL, self.dropped) if over.foul else b"")
-                self._said = self._post(farewell) if farewell else said
+                return action()
+            except CloseConnectionError as ending:
+                self.drop_reason = str(ending)
+                sent = ending.invalid_message and self._on_invalid_message(self.drop_reason)
+                final_data = ending.final_data or (
+                    self._framing.close_frame(CLOSE_POLICY_VIOLATION, self.drop_reason)
+                    if ending.invalid_message
+                    else b""
+                )
+                self._close_sent = self._enqueue(final_data) if final_data else sent
         except OSError:
-            pass  # reset: an end like any other
-        except Exception:  # a fault in one connection must not pass without a word, nor reach the others
-            logger.exception("{peer}: ended by a fault", event="connection-fault", peer=self.name)
+            pass  # connection reset: handled like any other end
+        except Exception:  # log an unexpected error and keep it from affecting other connections
+            logger.exception(
+                "{peer}: closed after an unexpected error", event="connection-fault", peer=self.name
+            )
         return False
 
     def _begin(self) -> bool:
@@ -328,68 +344,73 @@
         if self._opened:
             self._on_opened()
         else:
-            self._post(self._framing.opening())
+            self._enqueue(self._framing.handshake_data())
         return True
 
     def receive(self) -> bool:
-        """Read what has come into the framing's space and deal with it; False at the peer's end."""
-        self._busy = True  # guards what is read and not dealt with from a close by another thread
+        """Read available data into the framing's buffer and process it; False at end of stream."""
+        self._processing = True  # is_idle() must not be True while read data is unprocessed
         try:
-            count = self._sock.recv_into(self._framing.space(), 0, socket.MSG_DONTWAIT)
+            count = self._sock.recv_into(self._framing.read_buffer(), 0, socket.MSG_DONTWAIT)
             if not count:
                 return False
-            messages = self._take(count)
+            messages = self._process(count)
         except BlockingIOError:
-            return True  # it was somebody else's
+            return True  # spurious wake-up
         finally:
-            self._framing.rest()
-            self._busy = False
-        if not self._framing.half:
-            self._half_ms = math.inf
-        elif messages or self._half_ms == math.inf:
-            self._half_ms = self._clock.now_ms()
+            self._framing.release_if_empty()
+            self._processing = False
+        if not self._framing.has_partial_message:
+            self._partial_since_ms = math.inf
+        elif messages or self._partial_since_ms == math.inf:
+            self._partial_since_ms = self._clock.now_ms()
         return True
 
     def _wait(self) -> bool:
-        while not readable(self._sock, self._clock, self.due_ms()):
-            self._overdue()
+        while not wait_readable(self._sock, self._clock, self.deadline_ms()):
+            self._check_deadline()
         return True
 
-    def _overdue(self) -> bool:
-        """due_ms() may be over: True if the connection goes on all the same, as where that was put off."""
-        if self._clock.now_ms() < self.due_ms():
+    def _check_deadline(self) -> bool:
+        """End the connection if deadline_ms() has passed; True if it stays open."""
+        if self._clock.now_ms() < self.deadline_ms():
             return True
         if not self._opened:
-            raise OverError("its handshake was not over in time")
-        half = self._half_ms < math.inf
-        if half or not self._on_late():
-            raise OverError("half a message without its rest" if half else "nothing came", foul=half)
+            raise CloseConnectionError("its handshake was not over in time")
+        partial = self._partial_since_ms < math.inf
+        if partial or not self._on_timeout():
+            raise CloseConnectionError(
+                "half a message without its rest" if partial else "nothing came", invalid_message=partial
+            )
         return True
 
-    def _take(self, count: int) -> int:
-        """Deal with what was read; how many messages it held."""
+    def _process(self, count: int) -> int:
+        """Process received bytes; returns how many messages they completed."""
         messages = 0
-        for found in self._framing.filled(count):
-            self._note_opened()
-            if isinstance(found, Reply):
-                self._post(found)
+        for item in self._framing.parse(count):
+            self._notify_opened()
+            if isinstance(item, Reply):
+                self._enqueue(item)
             else:
                 messages += 1
-                self._on_message(found)
-        self._note_opened()
+                self._on_message(item)
+        self._notify_opened()
         return messages
 
-    def _note_opened(self) -> None:
+    def _notify_opened(self) -> None:
         if not self._opened and self._framing.opened:
             self._opened = True
             self._on_opened()
 
     def _drain(self) -> None:
-        """Wait for the peer to close: an end with unread bytes would reset, and take the farewell with it."""
+        """Wait for the peer to close.
+
+        Closing a socket that has unread data resets the connection, and the peer may lose the close frame.
+        """
         self._sock.shutdown(socket.SHUT_WR)
-        until_ms = self._clock.now_ms() + DRAIN_MS
-        most = DRAIN_BYTES
-        while most > 0 and readable(self._sock, self._clock, until_ms):
-            if not (rest := self._sock.recv(MESSAGE_BYTES)):
+        until_ms = self._clock.now_ms() + CLOSE_DRAIN_MS
+        remaining_bytes = CLOSE_DRAIN_BYTES
+        while remaining_bytes > 0 and wait_readable(self._sock, self._clock, until_ms):
+            if not (data := self._sock.recv(MAX_MESSAGE_BYTES)):
                 return
-            most -= len(rest)
+            remaining_bytes -= len(data)
--- a/capershelf/net/framing.py
+++ b/capershelf/net/framing.py
@@ -1,129 +1,135 @@
-"""What cuts a connection's bytes into messages; it reads into a buffer of the pool and touches no socket."""
+"""Framings: split a connection's byte stream into messages.  They use pooled buffers and do no I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from typing import Protocol
 
-from capershelf.net.buffers import MESSAGE_BYTES, POOL
+from capershelf.net.buffers import MAX_MESSAGE_BYTES, POOL
 
 
 class Reply(bytes):
-    """Bytes that the framing itself wants sent back, as they are."""
+    """Bytes that the framing itself sends to the peer, already framed."""
 
 
-class OverError(Exception):
-    """The peer has ended the connection, or broken its rules; farewell goes out first.
+class CloseConnectionError(Exception):
+    """Raised to close a connection: the peer has closed it or violated the protocol.
 
-    foul: what it sent can't be dealt with, and its owner has last words to say.
+    final_data is sent before closing.  invalid_message: the peer sent something that cannot be processed, and
+    the connection's owner may send it a final message.
     """
 
-    def __init__(self, reason: str, farewell: bytes = b"", foul: bool = False) -> None:
+    def __init__(self, reason: str, final_data: bytes = b"", invalid_message: bool = False) -> None:
         super().__init__(reason)
-        self.farewell, self.foul = farewell, foul
+        self.final_data, self.invalid_message = final_data, invalid_message
 
 
 class Framing(Protocol):
-    """One connection's framing: fill space(), then take what filled() finds."""
+    """One connection's framing: read into read_buffer(), then iterate over parse()."""
 
     @property
     def opened(self) -> bool:
-        """Whether messages may be sent yet."""
+        """Whether the handshake is complete, so that messages may be sent."""
 
     @property
-    def half(self) -> bool:
-        """Whether a part of a message lies here and its rest is awaited."""
+    def has_partial_message(self) -> bool:
+        """Whether an incomplete message is buffered."""
 
-    def opening(self) -> bytes:
-        """What this end sends first."""
+    def handshake_data(self) -> bytes:
+        """What this side sends when the connection starts."""
 
-    def space(self) -> memoryview: ...
+    def read_buffer(self) -> memoryview:
+        """The free part of the buffer, to receive into."""
 
-    def filled(self, count: int) -> Iterator[bytes]:
-        """Whole messages, and Replies; raises OverError at the connection's end."""
+    def parse(self, count: int) -> Iterator[bytes]:
+        """Yield the messages and Replies that count received bytes complete.
 
-    def frame(self, message: bytes) -> bytes: ...
+        Raises CloseConnectionError where the connection is to be closed.
+        """
 
-    def farewell(self, code: int, reason: str) -> bytes:
-        """What to send before closing, if this framing has such a thing."""
+    def frame(self, message: bytes) -> bytes:
+        """The message as it is sent."""
+
+    def close_frame(self, code: int, reason: str) -> bytes:
+        """What to send before closing; empty if this framing has no close frames or one was already built."""
 
-    def rest(self) -> None:
-        """What was read has been dealt with; a buffer with nothing left in it goes back."""
+    def release_if_empty(self) -> None:
+        """Return the buffer to the pool if all received bytes have been processed."""
 
-    def done(self) -> None:
-        """Give the buffers back."""
+    def release_buffers(self) -> None:
+        """Return all buffers to the pool."""
 
 
-NONE = bytearray()
+NO_BUFFER = bytearray()
 
 
 class Buffered:
-    """A framing's buffer: bytes come in at the end, whole messages leave at the front.
+    """A framing's receive buffer: bytes are appended at the end, complete messages are removed at the front.
 
-    It is taken from the pool when something is read and given back when nothing is left in it: guards a small
-    memory from hundreds of connections that say nothing.
+    The buffer is acquired from the pool on reading and released when it is empty, so that hundreds of idle
+    connections hold no buffers.
     """
 
     def __init__(self) -> None:
-        self.buffer = NONE
-        self.have = 0
+        self.buffer = NO_BUFFER
+        self.filled_bytes = 0
 
     @property
-    def half(self) -> bool:
-        return self.have > 0
+    def has_partial_message(self) -> bool:
+        return self.filled_bytes > 0
 
-    def space(self) -> memoryview:
-        if self.buffer is NONE:
-            self.buffer = POOL.take()
-        return memoryview(self.buffer)[self.have :]
+    def read_buffer(self) -> memoryview:
+        if self.buffer is NO_BUFFER:
+            self.buffer = POOL.acquire()
+        return memoryview(self.buffer)[self.filled_bytes :]
 
-    def drop(self, count: int) -> None:
-        """Move what is left to the front."""
-        self.buffer[: self.have - count] = self.buffer[count : self.have]
-        self.have -= count
+    def discard(self, count: int) -> None:
+        """Remove count bytes from the front."""
+        self.buffer[: self.filled_bytes - count] = self.buffer[count : self.filled_bytes]
+        self.filled_bytes -= count
 
-    def rest(self) -> None:
-        """All that was read has been dealt with for now."""
-        if not self.have:
-            Buffered.done(self)  # of a message in parts the rest is still to come
+    def release_if_empty(self) -> None:
+        """Release the buffer unless it holds part of a message."""
+        if not self.filled_bytes:
+            Buffered.release_buffers(self)  # not a subclass's, which would drop message fragments
 
-    def done(self) -> None:
-        if self.buffer is not NONE:
-            POOL.give(self.buffer)
-            self.buffer, self.have = NONE, 0
+    def release_buffers(self) -> None:
+        if self.buffer is not NO_BUFFER:
+            POOL.release(self.buffer)
+            self.buffer, self.filled_bytes = NO_BUFFER, 0
 
 
 class Lines(Buffered):
-    """JSON lines: a line feed ends a message; one of more than the allowed size ends the connection.
+    """JSON lines: each message ends with a line feed; an oversized message closes the connection.
 
-    Guards against bodies without an end: no more than the buffer is ever read of a message.
+    At most one buffer's worth of a message is ever read, so an endless line cannot exhaust memory.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.opened = True
-        self._seen = 0  # bytes known to hold no line feed
+        self._scanned = 0  # length of the prefix known to hold no line feed
 
-    def filled(self, count: int) -> Iterator[bytes]:
-        self.have += count
+    def parse(self, count: int) -> Iterator[bytes]:
+        self.filled_bytes += count
         start = 0
-        while (end := self.buffer.find(b"\n", max(start, self._seen), self.have)) >= 0:
+        while (end := self.buffer.find(b"\n", max(start, self._scanned), self.filled_bytes)) >= 0:
             line = bytes(self.buffer[start:end])
-            start = self._seen = end + 1
-            if len(line) > MESSAGE_BYTES:
+            start = self._scanned = end + 1
+            if len(line) > MAX_MESSAGE_BYTES:
                 break
             if line.strip():
                 yield line
-        self.drop(start)
-        self._seen = self.have
-        if end >= 0 or self.have > MESSAGE_BYTES:
-            raise OverError(f"a line of over {MESSAGE_BYTES} bytes", foul=True)
+        self.discard(start)
+        self._scanned = self.filled_bytes
+        if end >= 0 or self.filled_bytes > MAX_MESSAGE_BYTES:
+            raise CloseConnectionError(f"a line of over {MAX_MESSAGE_BYTES} bytes", invalid_message=True)
 
-    def opening(self) -> bytes:
+    def handshake_data(self) -> bytes:
         return b""
 
     def frame(self, message: bytes) -> bytes:
         return message + b"\n"
 
-    def farewell(self, code: int, reason: str) -> bytes:
+    def close_frame(self, code: int, reason: str) -> bytes:
         return b""
--- a/capershelf/net/links.py
+++ b/capershelf/net/links.py
@@ -1,6 +1,6 @@
-"""Links to booking servers: one multiplexed connection each, kept open for what comes unasked.
+"""Links to booking servers: one multiplexed connection each, kept open for unsolicited load reports.
 
-All links of a planner are read by one thread (net/poller.py).
+One event loop (net/poller.py) reads all links of a planner.
 """
 
 from __future__ import annotations
@@ -18,149 +18,155 @@
 
 from loguru import logger
 
-from capershelf.core import model as m
 from capershelf.core.clock import Clock
+from capershelf.core.model import Event, LinkDown, LinkUp, ServerReported, SetUp, WriteGate
 from capershelf.net import vocabulary
 from capershelf.net.addresses import AddressInfo, parse_endpoint, resolve
-from capershelf.net.connection import Connection, spawn, start_thread
-from capershelf.net.framing import Framing, Lines, OverError
+from capershelf.net.connection import Connection, start_detached_thread, start_thread
+from capershelf.net.framing import CloseConnectionError, Framing, Lines
 from capershelf.net.poller import Poller
 from capershelf.net.websocket import WebSocket
 
-WS = "ws://"  # an endpoint that begins so is spoken to over WebSocket
-# For the rest of a message that a server has begun.  Less than any release time: what is called off while the
-# connection is dead and can't say so must not be sent again before its end has given it up at the server.
-HALF_MS = 150.0
-# Servers tell their state unasked.  Where that comes at even gaps, a connection on which nothing has come for
-# somewhat more than one of them is of no further use, whatever is out on it.
-PULSES, EVEN = 3, 1.25  # so many gaps, the longest no more than so many times the shortest
-LATE_PULSE, LATE_MS = 1.4, 50.0  # gaps, and what may come on top
-LATES = 4  # connections that miss it one after another: there is no pulse
-# Connections being made in place of silent ones, and those that are heard out, over the links' share.
-REPAIRS = 16
-LATER_MS = 100.0  # with none of these left, a silent connection is looked at again after so long
-HEAR_OUT_MS = 1000.0  # what comes on a connection that was replaced is still heard for so long
-BACK_OFF_MS = (50.0, 100.0, 200.0, 400.0, 800.0, 1600.0)
-JITTER = 0.5  # of a pause, up or down: proxies that lost a server together do not come back together
-# Links that nobody waits for yet are opened spread over time: so long for each server that is listed,
-OPEN_MS = 5.0
-FLEET_MS = 1.0  # and for each proxy that hears of a server with this one.
-
-EPOCHS = itertools.count(1)  # of all links: guards a server's new link from the end of its old one
-Post = Callable[[m.Event], None]
-
-
-class Dial:
-    """One attempt to connect, to each address of a host in turn; says once how it came out."""
+WEBSOCKET_SCHEME = "ws://"  # endpoints with this prefix use WebSocket, all others JSON lines
+# How long the rest of an incomplete message may take.  Less than any release time: where a release can't be
+# delivered, the call must not be set up again before the end of the connection has released it at the server.
+PARTIAL_MESSAGE_TIMEOUT_MS = 150.0
+# Servers send load reports unasked.  Reports at regular gaps serve as a heartbeat: a connection on which
+# nothing arrives for somewhat more than one gap counts as dead, whatever is outstanding on it.
+GAP_SAMPLES = 3  # consecutive gaps needed to recognise a heartbeat
+MAX_GAP_RATIO = 1.25  # between the longest and the shortest of these gaps
+HEARTBEAT_TIMEOUT_GAPS = 1.4
+HEARTBEAT_TIMEOUT_SLACK_MS = 50.0  # added to the gaps
+MAX_HEARTBEAT_TIMEOUTS = 4  # on consecutive connections, after which the server counts as having no heartbeat
+# Descriptors beyond the links' share, for attempts to replace silent connections and for replaced connections.
+MAX_REPLACEMENTS = 16
+REPLACEMENT_RETRY_MS = 100.0  # before a silent connection is checked again when no replacement slot was free
+REPLACED_READ_MS = 1000.0  # how long a replaced connection is still read
+BACKOFF_MS = (50.0, 100.0, 200.0, 400.0, 800.0, 1600.0)
+BACKOFF_JITTER = 0.5  # either way, so that proxies which lost a server together do not reconnect together
+# Links that no call needs yet are opened at random times within a period that grows with the number of listed
+# servers and with the number of proxies that learn of a server together.
+SPREAD_PER_SERVER_MS = 5.0
+SPREAD_PER_PROXY_MS = 1.0
+
+# Epochs are unique across links, so that the end of a server's old link is not taken for its new one's.
+EPOCH_COUNTER = itertools.count(1)
+EventSink = Callable[[Event], None]
+
+
+class ConnectAttempt:
+    """An attempt to connect to a host, trying its addresses in turn; calls on_done once with the result."""
 
     def __init__(
         self,
         address: str,
         poller: Poller,
         clock: Clock,
-        by_ms: float,
-        done: Callable[[socket.socket | None, Exception | None], None],
+        deadline_ms: float,
+        on_done: Callable[[socket.socket | None, Exception | None], None],
     ) -> None:
-        self._poller, self._clock, self._by_ms, self._done = poller, clock, by_ms, done
+        self._poller, self._clock, self._deadline_ms, self._on_done = poller, clock, deadline_ms, on_done
         self._sock: socket.socket | None = None
-        self._left: list[AddressInfo] = []
-        self.over = False
+        self._addresses: list[AddressInfo] = []
+        self.finished = False
         try:
             host, port = parse_endpoint(address)
             found = resolve(host, port, socket.AI_NUMERICHOST)
-        except socket.gaierror:  # a name: looking it up takes as long as it takes, on a thread of its own
-            spawn(lambda: self._look_up(host, port))
+        except socket.gaierror:  # a host name: look it up on a separate thread, as that may block
+            start_detached_thread(lambda: self._resolve(host, port))
         except (OSError, ValueError) as problem:
             self._finish(None, problem)
         else:
-            self._found(found)
-        poller.at(by_ms, lambda: self._finish(None, TimeoutError("no answer in time")))
+            self._start(found)
+        poller.call_at(deadline_ms, lambda: self._finish(None, TimeoutError("no answer in time")))
 
-    def _look_up(self, host: str, port: int) -> None:
+    def _resolve(self, host: str, port: int) -> None:
         try:
             found = resolve(host, port)
         except OSError as problem:
-            self._poller.do(lambda problem=problem: self._finish(None, problem))  # type: ignore[misc]
+            self._poller.call_soon(lambda problem=problem: self._finish(None, problem))  # type: ignore[misc]
         else:
-            self._poller.do(lambda: self._found(found))
+            self._poller.call_soon(lambda: self._start(found))
 
-    def _found(self, found: list[AddressInfo]) -> None:
-        self._left = found
-        self._next(OSError("no address"))
+    def _start(self, found: list[AddressInfo]) -> None:
+        self._addresses = found
+        self._try_next(OSError("no address"))
 
-    def _next(self, problem: Exception) -> None:
-        """Try the next address; the problem is the last one's."""
-        while self._left and not self.over:
-            family, kind, protocol, _, address = self._left.pop(0)
+    def _try_next(self, problem: Exception) -> None:
+        """Try the next address; problem is the error of the previous one."""
+        while self._addresses and not self.finished:
+            family, kind, protocol, _, address = self._addresses.pop(0)
             try:
                 sock = socket.socket(family, kind, protocol)
-            except OSError as fault:  # such as no descriptor left
+            except OSError as fault:  # for example, no free descriptor
                 problem = fault
                 continue
             sock.setblocking(False)
-            number = sock.connect_ex(address)
-            if number in (0, errno.EINPROGRESS):
+            error_number = sock.connect_ex(address)
+            if error_number in (0, errno.EINPROGRESS):
                 self._sock = sock
-                self._poller.watch(sock, select.POLLOUT, self._came)
+                self._poller.register(sock, select.POLLOUT, self._on_writable)
                 return
             sock.close()
-            problem = OSError(number, os.strerror(number))
+            problem = OSError(error_number, os.strerror(error_number))
         self._finish(None, problem)
 
-    def _came(self, what: int) -> None:
+    def _on_writable(self, events: int) -> None:
         sock = self._sock
         assert sock is not None
-        number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        self._poller.forget(sock)
+        error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        self._poller.unregister(sock)
         self._sock = None
-        if number:
+        if error_number:
             sock.close()
-            self._next(OSError(number, os.strerror(number)))  # of the class that its number names
+            self._try_next(OSError(error_number, os.strerror(error_number)))  # the subclass for this errno
             return
         sock.setblocking(True)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._finish(sock, None)
 
-    def end(self) -> None:
-        """Nobody wants it any more."""
-        self.over = True
+    def cancel(self) -> None:
+        """Abandon the attempt without calling on_done."""
+        self.finished = True
         if self._sock is not None:
-            self._poller.forget(self._sock)
+            self._poller.unregister(self._sock)
             self._sock.close()
             self._sock = None
 
     def _finish(self, sock: socket.socket | None, problem: Exception | None) -> None:
-        if self.over:
+        if self.finished:
             if sock is not None:
                 sock.close()
             return
-        self.end()
-        self._done(sock, problem)
+        self.cancel()
+        self._on_done(sock, problem)
 
 
-class Repairs:
-    """Descriptors that links may hold beyond their share while they replace each other; the poller's alone.
+class ReplacementSlots:
+    """Limits the descriptors that links hold beyond their share while connections are replaced.
 
-    Guards the list's connection, and callers, from a fault that silences several hundred links at once.
+    Without the limit, a fault that silences several hundred links at once would use up the descriptors of the
+    registry connection and the callers.  For the poller's thread only.
     """
 
-    def __init__(self, most: int = REPAIRS) -> None:
-        self._left = most
+    def __init__(self, limit: int = MAX_REPLACEMENTS) -> None:
+        self._available = limit
 
-    def take(self) -> bool:
-        if self._left <= 0:
+    def acquire(self) -> bool:
+        if self._available <= 0:
             return False
-        self._left -= 1
+        self._available -= 1
         return True
 
-    def give(self) -> None:
-        self._left += 1
+    def release(self) -> None:
+        self._available += 1
 
 
 class Link:
-    """Connects, and connects again after a growing pause, which ends at once when a call needs it.
+    """A connection to one server that is reopened with backoff, or at once when a call needs it.
 
-    wake(), end(), send() and withdraw() are for the planner's thread, all else is the poller's.
+    connect(), disconnect(), end(), send(), withdraw() and is_flushed() are called by the planner's thread, the
+    other methods by the poller's.
     """
 
     def __init__(
@@ -168,113 +174,128 @@
         server: str,
         endpoint: str,
         clock: Clock,
-        connect_ms: float,
-        post: Post,
+        connect_timeout_ms: float,
+        emit: EventSink,
         poller: Poller,
         spread_ms: float = 0.0,
-        resting: bool = False,
-        repairs: Repairs | None = None,
+        suspended: bool = False,
+        replacement_slots: ReplacementSlots | None = None,
     ) -> None:
-        self._repairs = repairs or Repairs()
-        self._later_ms = -math.inf  # a silent connection is not replaced before this
+        self._replacement_slots = replacement_slots or ReplacementSlots()
+        self._replace_after_ms = -math.inf  # a silent connection is not replaced before this
         self.server, self.endpoint = server, endpoint
-        self._clock, self._connect_ms, self._post, self._poller = clock, connect_ms, post, poller
+        self._clock, self._connect_timeout_ms, self._emit, self._poller = (
+            clock,
+            connect_timeout_ms,
+            emit,
+            poller,
+        )
         self._spread_ms = spread_ms
         self._lock = threading.Lock()
         self._connection: Connection | None = None
         self._epoch = 0
-        self._ended = self._opened = self._woken = self._dropped = False
-        self._resting = resting
-        self._dial: Dial | None = None
-        self._in_place = False  # the attempt is for one in place of a connection that has fallen silent
-        self._repairing = False  # and takes a descriptor beyond the share
-        self._late_ms = -math.inf  # since then
+        self._ended = self._opened = self._connect_requested = self._was_dropped = False
+        self._suspended = suspended
+        self._connect_attempt: ConnectAttempt | None = None
+        self._replacing = False  # the attempt is to replace a silent connection
+        self._holds_slot = False  # the attempt holds a replacement slot
+        self._replacing_since_ms = -math.inf
         self._failures = 0
-        self._next_ms = math.inf  # when to connect, if nobody needs it before
-        self._armed_ms = math.inf  # when the poller looks at the connection's time
-        self._heard_ms = self._pulse_ms = clock.now_ms()
-        self._states = 0  # told on this connection
-        self._lates = 0  # connections that fell silent, one after another
-        self._gap_ms = math.inf
-        self._pulses: deque[float] = deque(maxlen=PULSES)  # the last gaps between two states
-        if not resting:
-            poller.do(lambda: self._pause(random.uniform(0.0, spread_ms)))
+        self._connect_at_ms = math.inf  # when to connect if no call needs it earlier
+        self._timer_at_ms = math.inf  # when the poller checks the connection's deadline
+        self._last_received_ms = self._last_report_ms = clock.now_ms()
+        self._report_count = 0  # load reports received unasked on this connection
+        self._heartbeat_timeouts = 0  # on consecutive connections
+        self._heartbeat_gap_ms = math.inf
+        self._gaps_ms: deque[float] = deque(maxlen=GAP_SAMPLES)
+        if not suspended:
+            poller.call_soon(lambda: self._schedule_connect(random.uniform(0.0, spread_ms)))
 
     # -- the planner's thread -------------------------------------------------------------------------
-    def wake(self) -> None:
-        if not self._woken:  # one is enough: guards the queue while a server stays away
-            self._woken = True
-            self._poller.do(self._now)
+    def connect(self) -> None:
+        """Connect now instead of when the backoff ends."""
+        if not self._connect_requested:  # at most one request is queued while a server is unreachable
+            self._connect_requested = True
+            self._poller.call_soon(self._connect_now)
 
-    def rest(self) -> None:
-        """Close, and connect no more until woken."""
-        self._poller.do(self._rest)
+    def disconnect(self) -> None:
+        """Close the connection and do not reconnect until connect() is called."""
+        self._poller.call_soon(self._suspend)
 
     def end(self) -> None:
+        """Close the link for good."""
         with self._lock:
             self._ended = True
             connection = self._connection
         if connection is not None:
             connection.close()
-        self._poller.do(self._end)
+        self._poller.call_soon(self._shut_down)
 
     def send(
-        self, data: bytes, epoch: int | None = None, tag: str = "", gate: m.WriteGate | None = None
+        self, data: bytes, epoch: int | None = None, tag: str = "", gate: WriteGate | None = None
     ) -> None:
-        """Write on the connection of that number, or on the present one; one that is gone says so itself."""
+        """Send on the connection with that epoch, or on the current one.
+
+        Data for a connection that is gone is discarded; LinkDown reports that end.
+        """
         with self._lock:
             connection = self._connection if epoch is None or epoch == self._epoch else None
         if connection is not None:
-            connection.post(data, tag, gate)
+            connection.send(data, tag, gate)
 
     def withdraw(self, tag: str) -> set[str]:
+        """Remove unwritten messages with this tag, as Connection.withdraw() does."""
         with self._lock:
             connection = self._connection
         return connection.withdraw(tag) if connection is not None else set()
 
-    def written(self) -> bool:
-        """Whether nothing waits to be written."""
+    def is_flushed(self) -> bool:
+        """Whether the write queue is empty."""
         with self._lock:
-            return self._connection is None or self._connection.written()
+            return self._connection is None or self._connection.is_flushed()
 
     # -- connecting -----------------------------------------------------------------------------------
-    def _pause(self, pause_ms: float) -> None:
-        if self._resting:
+    def _schedule_connect(self, pause_ms: float) -> None:
+        if self._suspended:
             return
-        self._next_ms = next_ms = self._clock.now_ms() + pause_ms
-        self._poller.at(next_ms, lambda: self._connect() if self._next_ms == next_ms else None)
-
-    def _rest(self) -> None:
-        self._resting, self._next_ms, self._in_place = True, math.inf, False
-        if self._dial is not None:
-            self._dial.end()
-            self._dial = None
-        self._repaired()
+        self._connect_at_ms = connect_at_ms = self._clock.now_ms() + pause_ms
+        self._poller.call_at(
+            connect_at_ms, lambda: self._connect() if self._connect_at_ms == connect_at_ms else None
+        )
+
+    def _suspend(self) -> None:
+        self._suspended, self._connect_at_ms, self._replacing = True, math.inf, False
+        if self._connect_attempt is not None:
+            self._connect_attempt.cancel()
+            self._connect_attempt = None
+        self._release_slot()
         if self._connection is not None:
-            self._connection.finish(1000, "not needed")
-            self._down(self._connection)
+            self._connection.close_after_flush(1000, "not needed")
+            self._connection_ended(self._connection)
 
-    def _now(self) -> None:
-        self._woken = self._resting = False
-        if self._connection is None and self._dial is None:
+    def _connect_now(self) -> None:
+        self._connect_requested = self._suspended = False
+        if self._connection is None and self._connect_attempt is None:
             self._connect()
 
     def _connect(self) -> None:
-        if not self._ended and self._dial is None:
-            self._next_ms = math.inf
-            address = self.endpoint.removeprefix(WS).partition("/")[0]
-            by_ms = self._clock.now_ms() + self._connect_ms
-            self._dial = Dial(address, self._poller, self._clock, by_ms, self._dialled)
-            if self._dial.over:
-                self._dial = None  # it has said so already
-
-    def _dialled(self, sock: socket.socket | None, problem: Exception | None) -> None:
-        self._dial = None
-        self._repaired()
-        if self._in_place:
-            self._replaced(sock, problem)
+        if not self._ended and self._connect_attempt is None:
+            self._connect_at_ms = math.inf
+            address = self.endpoint.removeprefix(WEBSOCKET_SCHEME).partition("/")[0]
+            deadline_ms = self._clock.now_ms() + self._connect_timeout_ms
+            self._connect_attempt = ConnectAttempt(
+                address, self._poller, self._clock, deadline_ms, self._on_connect_result
+            )
+            if self._connect_attempt.finished:
+                self._connect_attempt = None  # its result has been handled already
+
+    def _on_connect_result(self, sock: socket.socket | None, problem: Exception | None) -> None:
+        self._connect_attempt = None
+        self._release_slot()
+        if self._replacing:
+            self._on_replacement_result(sock, problem)
         elif sock is not None:
-            self._up(sock)
+            self._start_connection(sock)
         else:
             if self._failures == 0:
                 logger.info(
@@ -283,22 +304,24 @@
                     server=self.server,
                     problem=problem,
                 )
-            self._failed(isinstance(problem, ConnectionRefusedError))
+            self._connect_failed(isinstance(problem, ConnectionRefusedError))
 
-    def _failed(self, refused: bool) -> None:
-        """Tell that no connection came up, and pause."""
+    def _connect_failed(self, refused: bool) -> None:
+        """Report that no connection was established, and schedule the next attempt."""
         if self._ended:
             return
-        self._dropped = False
-        self._post(m.LinkDown(self.server, None, refused))
-        pause_ms = BACK_OFF_MS[min(self._failures, len(BACK_OFF_MS) - 1)]
+        self._was_dropped = False
+        self._emit(LinkDown(self.server, None, refused))
+        pause_ms = BACKOFF_MS[min(self._failures, len(BACKOFF_MS) - 1)]
         self._failures += 1
-        self._pause(max(pause_ms, self._spread_ms) * random.uniform(1.0 - JITTER, 1.0 + JITTER))
+        self._schedule_connect(
+            max(pause_ms, self._spread_ms) * random.uniform(1.0 - BACKOFF_JITTER, 1.0 + BACKOFF_JITTER)
+        )
 
-    def _up(self, sock: socket.socket) -> None:
+    def _start_connection(self, sock: socket.socket) -> None:
         self._opened = False
         now_ms = self._clock.now_ms()
-        epoch = next(EPOCHS)
+        epoch = next(EPOCH_COUNTER)
         connection = Connection(
             sock,
             self._framing(),
@@ -306,12 +329,12 @@
             lambda: None,
             f"link {self.server}",
             self._clock,
-            now_ms + self._connect_ms,
-            self._open,
-            self._due,
-            on_late=self._late,
+            now_ms + self._connect_timeout_ms,
+            self._on_opened,
+            self._read_deadline,
+            on_timeout=self._on_timeout,
         )
-        self._heard_ms, self._states = now_ms, 0
+        self._last_received_ms, self._report_count = now_ms, 0
         with self._lock:
             self._epoch = epoch
             self._connection = connection
@@ -319,287 +342,313 @@
         if ended:
             connection.close()
         self._sock = sock
-        self._poller.watch(sock, select.POLLIN, lambda what: self._look(connection, True))
+        self._poller.register(sock, select.POLLIN, lambda events: self._step(connection, True))
         if connection.begin():
-            self._arm(connection)
+            self._arm_timer(connection)
         else:
-            self._down(connection)
+            self._connection_ended(connection)
 
-    def _look(self, connection: Connection, came: bool) -> None:
-        """Something has come on the connection, or its time may be over."""
+    def _step(self, connection: Connection, readable: bool) -> None:
+        """Handle readable data or a passed deadline."""
         if self._connection is not connection:
             return
-        if connection.step(came):
-            self._arm(connection)
+        if connection.step(readable):
+            self._arm_timer(connection)
         else:
-            self._down(connection)
+            self._connection_ended(connection)
 
-    def _arm(self, connection: Connection) -> None:
-        """Have the connection looked at when it is due: once for all that comes before."""
-        due_ms = connection.due_ms()
-        if due_ms < self._armed_ms:
-            self._armed_ms = due_ms
-            self._poller.at(due_ms, lambda: self._rearm(connection, due_ms))
+    def _arm_timer(self, connection: Connection) -> None:
+        """Schedule a check at the connection's deadline, unless an earlier check is scheduled."""
+        due_ms = connection.deadline_ms()
+        if due_ms < self._timer_at_ms:
+            self._timer_at_ms = due_ms
+            self._poller.call_at(due_ms, lambda: self._on_timer(connection, due_ms))
 
-    def _rearm(self, connection: Connection, armed_ms: float) -> None:
+    def _on_timer(self, connection: Connection, timer_at_ms: float) -> None:
         if self._connection is connection:
-            if self._armed_ms == armed_ms:
-                self._armed_ms = math.inf
-            self._look(connection, False)
+            if self._timer_at_ms == timer_at_ms:
+                self._timer_at_ms = math.inf
+            self._step(connection, False)
 
-    def _hear_out(self, connection: Connection, sock: socket.socket) -> None:
-        """Read what is still on its way on a connection that another has taken the place of, for a while.
+    def _read_remaining(self, connection: Connection, sock: socket.socket) -> None:
+        """Keep reading a replaced connection for REPLACED_READ_MS.
 
-        Guards against the end of a call that its server wrote there just before it saw the close.
+        Otherwise the end of a call would be lost that the server sent just before it saw the close.
         """
-        over = False
+        ended = False
 
         def end() -> None:
-            nonlocal over
-            if not over:
-                over = True
-                self._repairs.give()
-                self._poller.forget(sock)
+            nonlocal ended
+            if not ended:
+                ended = True
+                self._replacement_slots.release()
+                self._poller.unregister(sock)
                 connection.end()
 
-        def look(what: int) -> None:
+        def on_readable(events: int) -> None:
             if not connection.step(True):
                 end()
 
-        connection.finish(1001, connection.dropped)
-        self._poller.watch(sock, select.POLLIN, look)
-        self._poller.at(self._clock.now_ms() + HEAR_OUT_MS, end)
+        connection.close_after_flush(1001, connection.drop_reason)
+        self._poller.register(sock, select.POLLIN, on_readable)
+        self._poller.call_at(self._clock.now_ms() + REPLACED_READ_MS, end)
 
-    def _down(self, connection: Connection, again: socket.socket | None = None) -> None:
-        """The connection has ended; again: one that is up in its place."""
+    def _connection_ended(self, connection: Connection, replacement: socket.socket | None = None) -> None:
+        """Handle the end of the connection; replacement: the socket that takes its place, if any."""
         with self._lock:
             self._connection = None
-        self._armed_ms = math.inf
-        self._poller.forget(self._sock)
-        if again is not None and self._repairs.take():
-            self._hear_out(connection, self._sock)
+        self._timer_at_ms = math.inf
+        self._poller.unregister(self._sock)
+        if replacement is not None and self._replacement_slots.acquire():
+            self._read_remaining(connection, self._sock)
         else:
             connection.end()
-        if self._in_place and self._dial is not None:  # what was meant to take its place may still come up
-            self._in_place = False
-        self._dropped = False
+        if self._replacing and self._connect_attempt is not None:
+            # The attempt continues as an ordinary one.
+            self._replacing = False
+        self._was_dropped = False
         if self._ended:
-            if again is not None:
-                again.close()
+            if replacement is not None:
+                replacement.close()
             return
-        if not self._opened:  # connected, but no WebSocket came of it
-            self._failed(False)
+        if not self._opened:  # connected, but the WebSocket handshake failed
+            self._connect_failed(False)
             return
         self._failures = 0
-        if connection.dropped:
+        if connection.drop_reason:
             logger.warning(
                 "server {server}: connection dropped: {reason}",
                 event="link-dropped",
                 server=self.server,
-                reason=connection.dropped,
+                reason=connection.drop_reason,
             )
-            self._dropped = True
-        self._post(m.LinkDown(self.server, self._epoch))
-        if again is not None:
-            self._up(again)
-        elif self._dial is None:
-            self._pause(random.uniform(0.0, self._spread_ms))
-
-    def _end(self) -> None:
-        if self._dial is not None:
-            self._dial.end()
-            self._dial = None
-        self._repaired()
+            self._was_dropped = True
+        self._emit(LinkDown(self.server, self._epoch))
+        if replacement is not None:
+            self._start_connection(replacement)
+        elif self._connect_attempt is None:
+            self._schedule_connect(random.uniform(0.0, self._spread_ms))
+
+    def _shut_down(self) -> None:
+        if self._connect_attempt is not None:
+            self._connect_attempt.cancel()
+            self._connect_attempt = None
+        self._release_slot()
         if (connection := self._connection) is not None:
-            self._down(connection)
+            self._connection_ended(connection)
 
     def _framing(self) -> Framing:
-        if self.endpoint.startswith(WS):
-            host, slash, path = self.endpoint.removeprefix(WS).partition("/")
+        if self.endpoint.startswith(WEBSOCKET_SCHEME):
+            host, slash, path = self.endpoint.removeprefix(WEBSOCKET_SCHEME).partition("/")
             return WebSocket(host, slash + path or "/")
         return Lines()
 
-    def _open(self) -> None:
+    def _on_opened(self) -> None:
         self._opened = True
-        self._post(m.LinkUp(self.server, self._epoch, self._dropped))
-
-    # -- a server's pulse -----------------------------------------------------------------------------
-    def _due(self, half_ms: float) -> float:
-        """When the connection is of no further use if nothing has come by then."""
-        late_ms = math.inf if self._in_place else self._heard_ms + LATE_PULSE * self._gap_ms + LATE_MS
-        return min(max(late_ms, self._later_ms), half_ms + HALF_MS)
+        self._emit(LinkUp(self.server, self._epoch, self._was_dropped))
+
+    # -- a server's heartbeat -------------------------------------------------------------------------
+    def _read_deadline(self, partial_since_ms: float) -> float:
+        """When the connection counts as dead if nothing arrives by then."""
+        heartbeat_deadline_ms = (
+            math.inf
+            if self._replacing
+            else self._last_received_ms
+            + HEARTBEAT_TIMEOUT_GAPS * self._heartbeat_gap_ms
+            + HEARTBEAT_TIMEOUT_SLACK_MS
+        )
+        return min(
+            max(heartbeat_deadline_ms, self._replace_after_ms), partial_since_ms + PARTIAL_MESSAGE_TIMEOUT_MS
+        )
 
-    def _pulse(self, now_ms: float) -> None:
-        """A state came unasked.  The first of a connection comes with its opening, and tells no gap.
+    def _record_report(self, now_ms: float) -> None:
+        """Record a load report that arrived unasked, and learn the gap between reports.
 
-        What was learned holds for the next connections too: guards against one that dies young.
+        The first report of a connection is sent when it opens, out of step, so it starts no gap.  The learned
+        gap is kept for later connections, so that one that dies before it could be learned is noticed too.
         """
-        self._states += 1
-        if self._states > 1:
-            self._lates = 0
-        if self._states > 2:
-            self._pulses.append(now_ms - self._pulse_ms)
-            if len(self._pulses) == PULSES and max(self._pulses) <= EVEN * min(self._pulses):
-                self._gap_ms = max(self._pulses)
-        self._pulse_ms = now_ms
-
-    def _unlearn(self) -> None:
-        self._pulses.clear()
-        self._gap_ms = math.inf
-
-    def _late(self) -> bool:
-        """Nothing has come for too long: try for another connection, and keep this one until it is up.
-
-        A server that drains is silent too, and takes no new connection.  The old one is kept then, for what
-        stands there: guards against calls cut in a drain.
+        self._report_count += 1
+        if self._report_count > 1:
+            self._heartbeat_timeouts = 0
+        if self._report_count > 2:
+            self._gaps_ms.append(now_ms - self._last_report_ms)
+            if len(self._gaps_ms) == GAP_SAMPLES and max(self._gaps_ms) <= MAX_GAP_RATIO * min(self._gaps_ms):
+                self._heartbeat_gap_ms = max(self._gaps_ms)
+        self._last_report_ms = now_ms
+
+    def _forget_heartbeat(self) -> None:
+        self._gaps_ms.clear()
+        self._heartbeat_gap_ms = math.inf
+
+    def _on_timeout(self) -> bool:
+        """Handle a missed heartbeat: try a new connection, and keep this one until that is established.
+
+        A server that drains is silent too, and refuses new connections.  The old connection is kept then, so
+        that a drain does not interrupt its established calls.
         """
         now_ms = self._clock.now_ms()
-        if self._dial is None and not self._repairs.take():
-            self._later_ms = now_ms + LATER_MS
+        if self._connect_attempt is None and not self._replacement_slots.acquire():
+            self._replace_after_ms = now_ms + REPLACEMENT_RETRY_MS
             return True
-        self._in_place, self._late_ms = True, now_ms
-        if self._dial is None:
-            self._repairing = True
+        self._replacing, self._replacing_since_ms = True, now_ms
+        if self._connect_attempt is None:
+            self._holds_slot = True
             self._connect()
         return True
 
-    def _repaired(self) -> None:
-        """What was being made in place of a silent connection is up, has failed, or is wanted no more."""
-        if self._repairing:
-            self._repairing = False
-            self._repairs.give()
+    def _release_slot(self) -> None:
+        """Free the replacement slot, if one is held: its attempt has succeeded, failed or been cancelled."""
+        if self._holds_slot:
+            self._holds_slot = False
+            self._replacement_slots.release()
 
-    def _replaced(self, sock: socket.socket | None, problem: Exception | None) -> None:
-        """How the attempt to connect in place of a silent connection came out."""
-        self._in_place = False
+    def _on_replacement_result(self, sock: socket.socket | None, problem: Exception | None) -> None:
+        """Handle the result of an attempt to replace a silent connection."""
+        self._replacing = False
         connection = self._connection
-        if connection is not None and self._heard_ms > self._late_ms:  # it was only late
+        if connection is not None and self._last_received_ms > self._replacing_since_ms:  # it was only slow
             if sock is not None:
                 sock.close()
-            self._arm(connection)
+            self._arm_timer(connection)
             return
         if isinstance(problem, ConnectionRefusedError):
-            self._unlearn()
+            self._forget_heartbeat()
             return
-        self._lates += 1
-        if self._lates >= LATES:  # it has no pulse any more, and is not to be replaced for that for ever
-            self._unlearn()
+        self._heartbeat_timeouts += 1
+        if self._heartbeat_timeouts >= MAX_HEARTBEAT_TIMEOUTS:
+            # There is no heartbeat any more: stop replacing connections for it.
+            self._forget_heartbeat()
         if connection is not None:
-            connection.dropped = "nothing came"
-            self._down(connection, sock)
+            connection.drop_reason = "nothing came"
+            self._connection_ended(connection, sock)
         elif sock is not None:
-            self._up(sock)
+            self._start_connection(sock)
 
     def _message(self, line: bytes, epoch: int) -> None:
         now_ms = self._clock.now_ms()
-        present = epoch == self._epoch  # not one that has been replaced and is heard out
-        if present:
-            self._heard_ms = now_ms
+        is_current = epoch == self._epoch  # false: a replaced connection that is still read
+        if is_current:
+            self._last_received_ms = now_ms
         try:
-            event = vocabulary.server_event(self.server, vocabulary.decode(line), not present)
-        except vocabulary.UnreadableError as problem:
-            # What follows on this connection can't be trusted either: its calls get their ends by the reset.
-            raise OverError(f"a message that can't be read: {problem}", foul=True) from problem
-        if present and isinstance(event, m.ServerReported) and not event.token:
-            self._pulse(now_ms)
+            event = vocabulary.parse_server_message(self.server, vocabulary.decode(line), not is_current)
+        except vocabulary.InvalidMessageError as problem:
+            # The data that follows can't be trusted either: closing the connection ends its calls.
+            raise CloseConnectionError(
+                f"a message that can't be read: {problem}", invalid_message=True
+            ) from problem
+        if is_current and isinstance(event, ServerReported) and not event.token:
+            self._record_report(now_ms)
         if event is not None:
-            self._post(event)
+            self._emit(event)
 
 
 class Links:
-    """All links of one planner; answers and releases are posted to whoever has the call.
+    """All links of one planner; what the servers send is passed on as events.
 
-    fleet: how many proxies hear of a server at about the same time.  most: links that may be up at a time;
-    with more servers the others rest, and a call that needs one has the longest unused make room, where
-    idle() says that no call is there.
+    fleet_size: the number of proxies that learn of a server at about the same time.  max_open: the number of
+    links that may be open at a time.  With more servers, the other links are suspended; a call that needs one
+    of them suspends the least recently used link for which is_idle() returns True.
     """
 
     def __init__(
         self,
         clock: Clock,
-        connect_ms: float,
-        post: Post,
-        fleet: int = 1,
+        connect_timeout_ms: float,
+        emit: EventSink,
+        fleet_size: int = 1,
         name: str = "links",
-        most: int = 1 << 20,
-        idle: Callable[[str], bool] = lambda server: True,
+        max_open: int = 1 << 20,
+        is_idle: Callable[[str], bool] = lambda server: True,
     ) -> None:
-        self._clock, self._connect_ms, self._post, self._fleet = clock, connect_ms, post, fleet
-        self._most, self._idle = most, idle
+        self._clock, self._connect_timeout_ms, self._emit, self._fleet_size = (
+            clock,
+            connect_timeout_ms,
+            emit,
+            fleet_size,
+        )
+        self._max_open, self._is_idle = max_open, is_idle
         self._links: dict[str, Link] = {}
-        self._awake: dict[str, None] = {}  # the servers whose links do not rest, longest unused first
+        self._active: dict[str, None] = {}  # servers whose links are not suspended, least recently used first
         self.poller = Poller(clock, name)
-        self._repairs = Repairs()
+        self._replacement_slots = ReplacementSlots()
         self._thread: threading.Thread | None = None
 
     def open(self, server: str, endpoint: str) -> None:
+        """Open a link to a server, replacing its previous one."""
         self.close(server)
         if self._thread is None:
             self._thread = start_thread(self.poller.run, self.poller.name)
-        spread_ms = OPEN_MS * len(self._links) + FLEET_MS * self._fleet
-        resting = len(self._awake) >= self._most
+        spread_ms = SPREAD_PER_SERVER_MS * len(self._links) + SPREAD_PER_PROXY_MS * self._fleet_size
+        suspended = len(self._active) >= self._max_open
         self._links[server] = Link(
             server,
             endpoint,
             self._clock,
-            self._connect_ms,
-            self._post,
+            self._connect_timeout_ms,
+            self._emit,
             self.poller,
             spread_ms,
-            resting,
-            self._repairs,
+            suspended,
+            self._replacement_slots,
         )
-        if not resting:
-            self._awake[server] = None
-
-    def _use(self, server: str) -> Link | None:
-        """The link, used last."""
-        if server in self._awake:
-            del self._awake[server]
-            self._awake[server] = None
+        if not suspended:
+            self._active[server] = None
+
+    def _touch(self, server: str) -> Link | None:
+        """Mark the server's link as most recently used, and return it."""
+        if server in self._active:
+            del self._active[server]
+            self._active[server] = None
         return self._links.get(server)
 
     def close(self, server: str) -> None:
-        self._awake.pop(server, None)
+        """Close the server's link for good."""
+        self._active.pop(server, None)
         if (link := self._links.pop(server, None)) is not None:
             link.end()
 
     def connect(self, server: str) -> str:
-        if (link := self._use(server)) is None:
+        """Connect the server's link now; returns the server whose link was suspended for it, if any."""
+        if (link := self._touch(server)) is None:
             return ""
-        rested = ""
-        if server not in self._awake:
-            if len(self._awake) >= self._most:
-                rested = next((one for one in self._awake if self._idle(one)), "")
-                if not rested:
-                    return ""  # all have calls on them: this attempt ends as one without a connection
-                self.disconnect(rested)
-            self._awake[server] = None
-        link.wake()
-        return rested
+        suspended_server = ""
+        if server not in self._active:
+            if len(self._active) >= self._max_open:
+                suspended_server = next(
+                    (candidate for candidate in self._active if self._is_idle(candidate)), ""
+                )
+                if not suspended_server:
+                    return ""  # all links have calls: the attempt fails for lack of a connection
+                self.disconnect(suspended_server)
+            self._active[server] = None
+        link.connect()
+        return suspended_server
 
     def disconnect(self, server: str) -> None:
-        if server in self._awake:
-            del self._awake[server]
-            self._links[server].rest()
+        """Close the server's connection until connect() is called."""
+        if server in self._active:
+            del self._active[server]
+            self._links[server].disconnect()
 
-    def set_up(
-        self, server: str, epoch: int, request: m.SetUp, remaining_ms: float, gate: m.WriteGate
-    ) -> None:
-        if (link := self._use(server)) is not None:
-            link.send(vocabulary.set_up_bytes(request, remaining_ms), epoch, request.id, gate)
+    def set_up(self, server: str, epoch: int, request: SetUp, remaining_ms: float, gate: WriteGate) -> None:
+        """Send a set-up on the connection with this epoch."""
+        if (link := self._touch(server)) is not None:
+            link.send(vocabulary.encode_set_up(request, remaining_ms), epoch, request.id, gate)
 
     def withdraw(self, server: str, call_id: str = "") -> set[str]:
+        """Withdraw the unwritten set-up of a call, or of all calls; returns the call ids."""
         return link.withdraw(call_id) if (link := self._links.get(server)) is not None else set()
 
     def release(self, server: str, call_id: str, cause: int) -> None:
+        """Send a release for a call."""
         if (link := self._links.get(server)) is not None:
             link.send(vocabulary.encode("release", call_id, cause))
 
     def probe(self, server: str, epoch: int, token: str) -> None:
+        """Send a ping whose pong will carry the token."""
         if (link := self._links.get(server)) is not None:
             link.send(vocabulary.encode("ping", token, 1), epoch)
 
     def is_flushed(self) -> bool:
-        """Whether nothing waits to be written to any server."""
-        return all(link.written() for link in self._links.values())
+        """Whether the write queues of all links are empty."""
+        return all(link.is_flushed() for link in self._links.values())
--- a/capershelf/net/poller.py
+++ b/capershelf/net/poller.py
@@ -1,8 +1,8 @@
-"""One thread that waits for many sockets, does what is put to it, and keeps their times.
+"""An event loop: one thread that polls many sockets and runs callbacks and timers.
 
-A thread for each booking server was the house's choice, and it does not hold for a fleet: 230 processes with
-300 servers each are 69,000 threads, where a machine has 32,768 ids for them (docs/design.md has the figures).
-The sockets stay blocking; only their reading is one thread's for all.
+A thread per booking server does not scale to a fleet: 230 processes with 300 servers each would need 69,000
+threads, where a machine has 32,768 thread ids (docs/design.md has the figures).  The sockets stay blocking;
+only reading is shared by one thread.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 from capershelf.core.clock import Clock
 
-WAKE_BYTES = 4096  # of the pipe, read at once: each is only a knock
+WAKE_READ_BYTES = 4096  # read from the wake-up pipe at once; their content means nothing
 
 
 class Poller:
-    """Whatever is handed in here runs on this thread; only do(), wake() and end() are for others."""
+    """Runs all callbacks on one thread; only call_soon(), wake() and end() may be called from others."""
 
     def __init__(self, clock: Clock, name: str) -> None:
         self.name = name
         self._clock = clock
         self._poll = select.poll()
-        self._came: dict[int, Callable[[int], None]] = {}
-        self._todo: deque[Callable[[], None]] = deque()
+        self._handlers: dict[int, Callable[[int], None]] = {}
+        self._pending: deque[Callable[[], None]] = deque()
         self._timers: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = itertools.count()
+        self._sequence = itertools.count()
         self._ended = False
         self._reader, self._writer = os.pipe()
         os.set_blocking(self._reader, False)
@@ -43,59 +43,62 @@
         clock.watch(self)
 
     # -- for any thread -------------------------------------------------------------------------------
-    def do(self, what: Callable[[], None]) -> None:
-        self._todo.append(what)
+    def call_soon(self, callback: Callable[[], None]) -> None:
+        """Run the callback on the poller's thread."""
+        self._pending.append(callback)
         self.wake()
 
     def wake(self) -> None:
-        with contextlib.suppress(BlockingIOError):  # full: it is awake already
+        """Interrupt the wait, as when the clock has been advanced."""
+        with contextlib.suppress(BlockingIOError):  # the pipe is full: a wake-up is pending already
             os.write(self._writer, b"\0")
 
     def end(self) -> None:
+        """Stop run() after its current step."""
         self._ended = True
         self.wake()
 
     # -- for this thread ------------------------------------------------------------------------------
-    def watch(self, sock: socket.socket, mask: int, came: Callable[[int], None]) -> None:
-        self._came[sock.fileno()] = came
+    def register(self, sock: socket.socket, mask: int, handler: Callable[[int], None]) -> None:
+        """Call the handler with the poll events whenever the socket is ready."""
+        self._handlers[sock.fileno()] = handler
         self._poll.register(sock, mask)
 
-    def forget(self, sock: socket.socket) -> None:
-        """Before the socket is closed: its number may be another's next."""
-        if self._came.pop(sock.fileno(), None) is not None:
+    def unregister(self, sock: socket.socket) -> None:
+        """Stop polling a socket; to be called before it is closed, as its descriptor may be reused."""
+        if self._handlers.pop(sock.fileno(), None) is not None:
             self._poll.unregister(sock)
 
-    def at(self, at_ms: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self._timers, (at_ms, next(self._count), what))
+    def call_at(self, when_ms: float, callback: Callable[[], None]) -> None:
+        """Run the callback at that time."""
+        heapq.heappush(self._timers, (when_ms, next(self._sequence), callback))
 
     def run(self) -> None:
         while not self._ended:
             self.step()
 
     def step(self) -> None:
-        """Wait for the next socket, knock or time.
+        """Wait for a socket, a wake-up or a timer, and run what is ready.
 
-        What has come is read before the times are looked at: guards a peer that spoke in time from a thread
-        that was late to listen.
+        Sockets are read before timers run, so that a peer whose data arrived in time is not timed out because
+        this thread was late.
         """
-        left = self._clock.seconds_until(self._timers[0][0] if self._timers else math.inf)
-        wait_ms = None if left is None else 0 if self._todo else math.ceil(left * 1000.0)
-        for number, what in self._poll.poll(wait_ms):
+        wait_s = self._clock.seconds_until(self._timers[0][0] if self._timers else math.inf)
+        wait_ms = None if wait_s is None else 0 if self._pending else math.ceil(wait_s * 1000.0)
+        for number, events in self._poll.poll(wait_ms):
             if number == self._reader:
                 with contextlib.suppress(BlockingIOError):
-                    os.read(self._reader, WAKE_BYTES)
-            elif (came := self._came.get(number)) is not None:  # else forgotten since
-                self._guarded(lambda came=came, what=what: came(what))  # type: ignore[misc]
-        while self._todo:
-            self._guarded(self._todo.popleft())
+                    os.read(self._reader, WAKE_READ_BYTES)
+            elif (handler := self._handlers.get(number)) is not None:  # else unregistered since
+                self._run_logged(lambda handler=handler, events=events: handler(events))  # type: ignore[misc]
+        while self._pending:
+            self._run_logged(self._pending.popleft())
         now_ms = self._clock.now_ms()
         while self._timers and self._timers[0][0] <= now_ms:
-            self._guarded(heapq.heappop(self._timers)[2])
+            self._run_logged(heapq.heappop(self._timers)[2])
 
-    def _guarded(self, what: Callable[[], None]) -> None:
+    def _run_logged(self, callback: Callable[[], None]) -> None:
         try:
-            what()
-        except Exception:  # a fault over one socket must not reach the others
-            logger.exception(
-                "{thread}: something could not be dealt with", event="poller-fault", thread=self.name
-            )
+            callback()
+        except Exception:  # an error on one socket must not affect the others
+            logger.exception("{thread}: a callback failed", event="poller-fault", thread=self.name)
--- a/capershelf/net/tls.py
+++ b/capershelf/net/tls.py
@@ -1,8 +1,9 @@
-"""TLS round another framing, without I/O: what is read is decrypted into the inner framing, what it
-frames is encrypted.
+"""TLS around another framing, without I/O.
 
-Contexts are made anew for each connection, so that keys and certificates that were replaced on disk hold
-from the next connection on.
+Received data is decrypted into the inner framing, and the inner framing's output is encrypted.
+
+A new context is created for each connection, so that keys and certificates replaced on disk take effect with
+the next connection.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 from pathlib import Path
 from typing import Any
 
-from capershelf.net.buffers import MESSAGE_BYTES
-from capershelf.net.framing import Buffered, Framing, OverError, Reply
+from capershelf.net.buffers import MAX_MESSAGE_BYTES
+from capershelf.net.framing import Buffered, Framing, CloseConnectionError, Reply
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Files of PEM; ca proves the peer, certificate and key prove this end."""
+    """Paths of PEM files: ca verifies the peer, certificate and key identify this side."""
 
     ca: str = ""
     certificate: str = ""
     key: str = ""
 
     def context(self, server: bool) -> ssl.SSLContext:
-        """ValueError names a file that can't be used; a key that others may read is one."""
+        """A new TLS context; ValueError for unusable files, or a key file with permissions for others."""
         try:
             if self.key and Path(self.key).stat().st_mode & (stat.S_IRWXG | stat.S_IRWXO):
                 raise ValueError(f"{self.key} is open to others (mode 600 wanted)")
@@ -39,91 +40,95 @@
                 context.verify_mode = ssl.CERT_REQUIRED
             if self.certificate:
                 context.load_cert_chain(self.certificate, self.key or None)
-        except (OSError, ssl.SSLError) as problem:
-            raise ValueError(f"TLS: {problem}") from problem
+        except (OSError, ssl.SSLError) as error:
+            raise ValueError(f"TLS: {error}") from error
         return context
 
 
 class Tls(Buffered):
-    """A framing over TLS; frame() may be called by any thread once it has opened."""
+    """A framing over TLS; frame() may be called by any thread once it is open."""
 
     def __init__(self, inner: Framing, context: ssl.SSLContext, server: bool, host: str = "") -> None:
         super().__init__()
         self._inner = inner
-        self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
+        self._incoming, self._outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
         self._tls = context.wrap_bio(
-            self._in, self._out, server_side=server, server_hostname=None if server else host
+            self._incoming, self._outgoing, server_side=server, server_hostname=None if server else host
         )
-        self._lock = threading.Lock()  # over the TLS object
-        self._shaken = False
+        self._lock = threading.Lock()  # guards the TLS object
+        self._handshake_done = False
 
     @property
     def opened(self) -> bool:
-        return self._shaken and self._inner.opened
+        return self._handshake_done and self._inner.opened
 
     @property
-    def half(self) -> bool:
-        return self._inner.half
+    def has_partial_message(self) -> bool:
+        return self._inner.has_partial_message
 
-    def opening(self) -> bytes:
+    def handshake_data(self) -> bytes:
         with self._lock:
-            self._shake()
-            return self._out.read()
+            self._do_handshake()
+            return self._outgoing.read()
 
-    def filled(self, count: int) -> Iterator[bytes]:
-        self._in.write(bytes(self.buffer[self.have : self.have + count]))
-        if not self._shaken:
+    def parse(self, count: int) -> Iterator[bytes]:
+        self._incoming.write(bytes(self.buffer[self.filled_bytes : self.filled_bytes + count]))
+        if not self._handshake_done:
             with self._lock:
-                self._shake()
-                first = self._encrypt(self._inner.opening()) if self._shaken else b""
-                said = first or self._out.read()
-            if said:
-                yield Reply(said)
-        while self._shaken and (count := self._decrypt()):
-            for found in self._inner.filled(count):
-                yield Reply(self._sealed(found)) if isinstance(found, Reply) else found
-
-    def _shake(self) -> None:
+                self._do_handshake()
+                initial = self._encrypt(self._inner.handshake_data()) if self._handshake_done else b""
+                output = initial or self._outgoing.read()
+            if output:
+                yield Reply(output)
+        while self._handshake_done and (count := self._decrypt()):
+            for item in self._inner.parse(count):
+                yield Reply(self._encrypt_locked(item)) if isinstance(item, Reply) else item
+
+    def _do_handshake(self) -> None:
         try:
             self._tls.do_handshake()
-            self._shaken = True
+            self._handshake_done = True
         except ssl.SSLWantReadError:
             pass
-        except ssl.SSLError as problem:
-            raise OverError(f"TLS: {problem.reason or problem}", farewell=self._out.read()) from problem
+        except ssl.SSLError as error:
+            raise CloseConnectionError(
+                f"TLS: {error.reason or error}", final_data=self._outgoing.read()
+            ) from error
 
     def _decrypt(self) -> int:
-        """Into the inner framing's space; 0 when there is no more."""
+        """Decrypt into the inner framing's buffer; returns the number of bytes, 0 if there are none left."""
         with self._lock:
             try:
-                space = self._inner.space()
-                count: Any = self._tls.read(min(len(space), MESSAGE_BYTES), space)
-                return int(count)  # how many were put there: the type says bytes, which come without a buffer
+                space = self._inner.read_buffer()
+                count: Any = self._tls.read(min(len(space), MAX_MESSAGE_BYTES), space)
+                return int(
+                    count
+                )  # a byte count; typeshed declares bytes, which is the result without a buffer
             except ssl.SSLWantReadError:
                 return 0
-            except ssl.SSLZeroReturnError as problem:
-                raise OverError("TLS: closed") from problem
-            except ssl.SSLError as problem:
-                raise OverError(f"TLS: {problem.reason or problem}") from problem
+            except ssl.SSLZeroReturnError as error:
+                raise CloseConnectionError("TLS: closed") from error
+            except ssl.SSLError as error:
+                raise CloseConnectionError(f"TLS: {error.reason or error}") from error
 
     def _encrypt(self, data: bytes) -> bytes:
         if data:
             self._tls.write(data)
-        return self._out.read()
+        return self._outgoing.read()
 
-    def _sealed(self, data: bytes) -> bytes:
+    def _encrypt_locked(self, data: bytes) -> bytes:
         with self._lock:
             return self._encrypt(data)
 
     def frame(self, message: bytes) -> bytes:
-        return self._sealed(self._inner.frame(message))
+        return self._encrypt_locked(self._inner.frame(message))
 
-    def farewell(self, code: int, reason: str) -> bytes:
-        if not self._shaken:
+    def close_frame(self, code: int, reason: str) -> bytes:
+        if not self._handshake_done:
             return b""
-        last = self._inner.farewell(code, reason)
-        return self._sealed(last) if last else b""
+        frame = self._inner.close_frame(code, reason)
+        return self._encrypt_locked(frame) if frame else b""
 
-    def done(self) -> None:
-        self._inner.done()
-        super().done()
+    def release_buffers(self) -> None:
+        self._inner.release_buffers()
+        super().release_buffers()
--- a/capershelf/net/vocabulary.py
+++ b/capershelf/net/vocabulary.py
@@ -1,7 +1,7 @@
-"""The vocabulary of the protocol: JSON objects with type, id, fields, cause and description.
+"""Encoding and parsing of protocol messages: JSON objects with type, id, fields, cause and description.
 
-Both sides speak it, over lines or over WebSocket messages.  What can't be read raises
-UnreadableError, with the id where there is one, so that its sender can still be answered.
+Callers and booking servers use the same messages, as JSON lines or WebSocket messages.  Parsing an invalid
+message raises InvalidMessageError with the message's id, if it has one, so that the sender can be answered.
 """
 
 from __future__ import annotations
@@ -12,79 +12,94 @@
 from dataclasses import dataclass
 from typing import Any
 
-from capershelf import interface as api
-from capershelf.core import model as m
-from capershelf.net.buffers import MESSAGE_BYTES
+from capershelf.core.model import (
+    CAUSE_NO_CAPACITY,
+    CAUSE_NORMAL,
+    Answered,
+    CallerMessage,
+    Ended,
+    Event,
+    Failed,
+    Refused,
+    ServerAnswered,
+    ServerReleased,
+    ServerReported,
+    SetUp,
+)
+from capershelf.interface import LoadReport, RefusalReason, Result, Settings
+from capershelf.net.buffers import MAX_MESSAGE_BYTES
 
 HEX_ID = re.compile("[0-9a-fA-F]{16}")
-WHOLE = re.compile("-?[0-9]{1,9}")
-KEY_LENGTH = 64  # of the number called, at the most
-REFUSED_MS = 1000.0
-DEPTH = 16  # of brackets within each other; more is not of this protocol
-WHYS = {
-    "atb": api.RefusalReason.NO_LINE,
-    "acc": api.RefusalReason.PROCESSOR_FULL,
-    "sub": api.RefusalReason.NUMBER_BUSY,
+WHOLE_NUMBER = re.compile("-?[0-9]{1,9}")
+MAX_KEY_LENGTH = 64  # characters of the number called
+REFUSED_RETRY_AFTER_MS = 1000.0
+MAX_NESTING_DEPTH = 16  # brackets; no message of this protocol nests deeper
+REFUSAL_REASONS = {
+    "atb": RefusalReason.NO_LINE,
+    "acc": RefusalReason.PROCESSOR_FULL,
+    "sub": RefusalReason.NUMBER_BUSY,
 }
-RESULTS = {
-    34: api.Result.FULL,
-    17: api.Result.ERROR,
-    47: api.Result.ERROR,
-    102: api.Result.NOT_SENT,
-    41: api.Result.RESET,
+RESULTS_BY_CAUSE = {
+    34: Result.FULL,
+    17: Result.ERROR,
+    47: Result.ERROR,
+    102: Result.NOT_SENT,
+    41: Result.RESET,
 }
 
 
-class UnreadableError(ValueError):
-    """A message that is not of the vocabulary; id is its call's, if that could be read."""
+class InvalidMessageError(ValueError):
+    """A message that violates the protocol; id is its call id, if that could be parsed."""
 
     def __init__(self, problem: str, call_id: str = "") -> None:
         super().__init__(problem)
         self.id = call_id
 
 
-class UnusableError(UnreadableError):
-    """A set-up whose id can be read and which no booking server could use."""
+class InvalidSetUpError(InvalidMessageError):
+    """A set-up with a valid id that no booking server could process."""
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What a set-up may name here."""
+class SetUpLimits:
+    """The values that a set-up may contain, from the settings."""
 
-    deadlines: dict[str, float]  # how long a caller may wait at the most, by class
+    max_remaining_ms: dict[str, float]  # the longest time left that a set-up may state, by class
     widths: frozenset[int]
-    places: frozenset[int] | None  # None: not told
-    wait_ms: float  # how long a caller that is refused for its own number of calls is to stay away
+    pools: frozenset[int] | None  # None: unknown, any pool is accepted
+    retry_after_ms: float  # retry-after for a caller that has too many open calls
 
     @classmethod
-    def of(cls, settings: api.Settings) -> Terms:
-        places: set[int] | None = set()
+    def from_settings(cls, settings: Settings) -> SetUpLimits:
+        pools: set[int] | None = set()
         for kind in settings.classes:
-            places = places | set(kind.pools) if places is not None and kind.pools is not None else None
+            pools = pools | set(kind.pools) if pools is not None and kind.pools is not None else None
         return cls(
             {kind.name: kind.deadline_ms for kind in settings.classes},
             frozenset(kind.width for kind in settings.classes),
-            frozenset(places) if places is not None else None,
-            min(REFUSED_MS, settings.max_retry_after_ms),
+            frozenset(pools) if pools is not None else None,
+            min(REFUSED_RETRY_AFTER_MS, settings.max_retry_after_ms),
         )
 
 
 def decode(line: bytes) -> dict[str, Any]:
-    """The object in a message."""
-    if line.count(b"[") + line.count(b"{") > DEPTH and _depth(line) > DEPTH:
-        raise UnreadableError("nested too deeply")  # guards a small stack against the JSON reader's recursion
+    """Decode a message to its JSON object."""
+    if line.count(b"[") + line.count(b"{") > MAX_NESTING_DEPTH and _depth(line) > MAX_NESTING_DEPTH:
+        raise InvalidMessageError(
+            "nested too deeply"
+        )  # the JSON decoder's recursion would overflow a small stack
     try:
         found = json.loads(line.decode("utf-8"))
     except (ValueError, RecursionError) as problem:
-        raise UnreadableError(f"not JSON: {problem}") from problem
+        raise InvalidMessageError(f"not JSON: {problem}") from problem
     if not isinstance(found, dict) or not isinstance(found.get("type"), str):
-        raise UnreadableError("not an object with a type")
+        raise InvalidMessageError("not an object with a type")
     return found
 
 
 def _depth(line: bytes) -> int:
-    """How deep brackets outside strings lie within each other."""
-    depth = deepest = 0
+    """The nesting depth of brackets outside strings."""
+    depth = max_depth = 0
     in_string = escaped = False
     for byte in line:
         if escaped:
@@ -95,10 +110,10 @@
             in_string = True
         elif byte in b"[{":
             depth += 1
-            deepest = max(deepest, depth)
+            max_depth = max(max_depth, depth)
         elif byte in b"]}":
             depth -= 1
-    return deepest
+    return max_depth
 
 
 def encode(
@@ -113,157 +128,164 @@
         message["cause"] = cause
     if sdp is not None:
         message["sdp"] = sdp
-    # Not as ASCII: guards a message of the allowed size from one of six times that on its way out.
+    # ASCII escapes could make a message of the maximum size six times as long when it is forwarded.
     return json.dumps(message, separators=(",", ":"), ensure_ascii=False).encode()
 
 
-def call_id(message: dict[str, Any]) -> str:
+def parse_call_id(message: dict[str, Any]) -> str:
     found = message.get("id")
     if not isinstance(found, str) or not HEX_ID.fullmatch(found):
-        raise UnreadableError("its id is not 16 hex digits")
+        raise InvalidMessageError("its id is not 16 hex digits")
     return found
 
 
-def fields_of(message: dict[str, Any], named: str) -> dict[str, str | int | float]:
+def parse_fields(message: dict[str, Any], message_id: str) -> dict[str, str | int | float]:
     found = message.get("fields", {})
     if not isinstance(found, dict):
-        raise UnreadableError("its fields are not an object", named)
+        raise InvalidMessageError("its fields are not an object", message_id)
     for name, value in found.items():
         if isinstance(value, bool) or not isinstance(value, str | int | float):
-            raise UnreadableError(f"its field {name!r} is neither text nor number", named)
+            raise InvalidMessageError(f"its field {name!r} is neither text nor number", message_id)
     return found
 
 
-def number_of(value: Any, what: str, named: str) -> float:
+def parse_number(value: Any, what: str, message_id: str) -> float:
     try:
         number = float(value)
     except (TypeError, ValueError, OverflowError):
         number = math.nan
     if not math.isfinite(number):
-        raise UnreadableError(f"its {what} is no number", named)
+        raise InvalidMessageError(f"its {what} is no number", message_id)
     return number
 
 
-def cause_of(message: dict[str, Any], named: str) -> int:
-    return int(number_of(message.get("cause", m.CAUSE_NORMAL), "cause", named))
+def parse_cause(message: dict[str, Any], message_id: str) -> int:
+    return int(parse_number(message.get("cause", CAUSE_NORMAL), "cause", message_id))
 
 
-def pairs_of(text: str) -> dict[str, str]:
-    """name:value;name:value"""
+def parse_pairs(text: str) -> dict[str, str]:
+    """Parse name:value;name:value."""
     return {name: value for name, _, value in (pair.partition(":") for pair in text.split(";"))}
 
 
-def whole_number(text: str, what: str, named: str) -> int:
-    if not WHOLE.fullmatch(text):
-        raise UnreadableError(f"its {what} is no whole number", named)
+def parse_whole_number(text: str, what: str, message_id: str) -> int:
+    if not WHOLE_NUMBER.fullmatch(text):
+        raise InvalidMessageError(f"its {what} is no whole number", message_id)
     return int(text)
 
 
-def description_of(message: dict[str, Any], named: str) -> str:
-    """The description, which must be there and be text that can be written out again."""
+def parse_description(message: dict[str, Any], message_id: str) -> str:
+    """The description; it is required and must be encodable as UTF-8."""
     sdp = message.get("sdp")
     if not isinstance(sdp, str) or not sdp:
-        raise UnreadableError("it has no description", named)
+        raise InvalidMessageError("it has no description", message_id)
     try:
         sdp.encode()
     except UnicodeEncodeError as problem:
-        raise UnreadableError("its description is no text", named) from problem
+        raise InvalidMessageError("its description is no text", message_id) from problem
     return sdp
 
 
-def set_up_of(message: dict[str, Any], now_ms: float, terms: Terms) -> m.SetUp:
-    """A caller's set-up, its `left` turned into a deadline at once.
+def parse_set_up(message: dict[str, Any], now_ms: float, limits: SetUpLimits) -> SetUp:
+    """Parse a caller's set-up and convert its `left` to a deadline.
 
-    Guards the booking servers: nothing that one of them could not use or read gets past here.
+    Rejects everything that a booking server could not parse or process.
     """
-    named = call_id(message)
+    message_id = parse_call_id(message)
     try:
-        return _set_up_of(message, named, now_ms, terms)
-    except UnreadableError as problem:
-        raise UnusableError(str(problem), named) from problem
+        return _parse_set_up(message, message_id, now_ms, limits)
+    except InvalidMessageError as problem:
+        raise InvalidSetUpError(str(problem), message_id) from problem
 
 
-def _set_up_of(message: dict[str, Any], named: str, now_ms: float, terms: Terms) -> m.SetUp:
-    fields = fields_of(message, named)
-    sdp = description_of(message, named)
+def _parse_set_up(message: dict[str, Any], message_id: str, now_ms: float, limits: SetUpLimits) -> SetUp:
+    fields = parse_fields(message, message_id)
+    sdp = parse_description(message, message_id)
     kind = fields.get("class")
-    if not isinstance(kind, str) or kind not in terms.deadlines:
-        raise UnreadableError(f"its class {str(kind)[:40]!r} is unknown", named)
-    left_ms = number_of(fields.get("left"), "left", named)
-    if not 0 < left_ms <= terms.deadlines[kind]:
-        raise UnreadableError("its left is out of range", named)
+    if not isinstance(kind, str) or kind not in limits.max_remaining_ms:
+        raise InvalidMessageError(f"its class {str(kind)[:40]!r} is unknown", message_id)
+    remaining_ms = parse_number(fields.get("left"), "left", message_id)
+    if not 0 < remaining_ms <= limits.max_remaining_ms[kind]:
+        raise InvalidMessageError("its left is out of range", message_id)
     number = str(fields.get("key", ""))
-    if len(number) > KEY_LENGTH or not number.isascii() or not number.isprintable():
-        raise UnreadableError("its key is no number called", named)
+    if len(number) > MAX_KEY_LENGTH or not number.isascii() or not number.isprintable():
+        raise InvalidMessageError("its key is no number called", message_id)
     extras: dict[str, int] = {}
     for pair in filter(None, str(fields.get("extras", "")).split(";")):
         name, colon, value = pair.partition(":")
         if not colon:
-            raise UnreadableError("its extras are not name:value", named)
-        extras[name] = whole_number(value, f"extra {name[:20]!r}", named)
-    far_end, width = extras.get("dest", -1), extras.get("width", min(terms.widths))
-    if far_end != -1 and (far_end < 0 or terms.places is not None and far_end not in terms.places):
-        raise UnreadableError("its dest is no place", named)
-    if width not in terms.widths:
-        raise UnreadableError("its width is out of range", named)
-    request = m.SetUp(named, kind, now_ms + left_ms, number, sdp, far_end, width)
-    if len(sdp) > MESSAGE_BYTES // 8 and len(set_up_bytes(request, left_ms)) > MESSAGE_BYTES:
-        raise UnreadableError("it is too long to be passed on", named)
+            raise InvalidMessageError("its extras are not name:value", message_id)
+        extras[name] = parse_whole_number(value, f"extra {name[:20]!r}", message_id)
+    preferred_pool, width = extras.get("dest", -1), extras.get("width", min(limits.widths))
+    if preferred_pool != -1 and (
+        preferred_pool < 0 or limits.pools is not None and preferred_pool not in limits.pools
+    ):
+        raise InvalidMessageError("its dest is no place", message_id)
+    if width not in limits.widths:
+        raise InvalidMessageError("its width is out of range", message_id)
+    request = SetUp(message_id, kind, now_ms + remaining_ms, number, sdp, preferred_pool, width)
+    if len(sdp) > MAX_MESSAGE_BYTES // 8 and len(encode_set_up(request, remaining_ms)) > MAX_MESSAGE_BYTES:
+        raise InvalidMessageError("it is too long to be passed on", message_id)
     return request
 
 
-def report_of(fields: dict[str, str | int | float], named: str) -> api.LoadReport | None:
-    """The load report among the fields, if there is one."""
+def parse_load_report(fields: dict[str, str | int | float], message_id: str) -> LoadReport | None:
+    """The load report in the fields, if there is one."""
     load = fields.get("load")
     if not isinstance(load, str) or not load:
         return None
     found: dict[str, float] = {}
-    for name, value in pairs_of(load).items():
-        number = number_of(value, f"load figure {name!r}", named)
+    for name, value in parse_pairs(load).items():
+        number = parse_number(value, f"load figure {name!r}", message_id)
         if number >= 0:
             found[name] = number
-    return api.LoadReport.from_fields(found)
+    return LoadReport.from_fields(found)
 
 
-def server_event(server: str, message: dict[str, Any], replaced: bool = False) -> m.Event | None:
-    """What a booking server says, perhaps on a connection that was replaced; None for what means nothing."""
+def parse_server_message(server: str, message: dict[str, Any], replaced: bool = False) -> Event | None:
+    """The event for a booking server's message, or None if it is ignored.
+
+    replaced: the message was received on a connection that has been replaced.
+    """
     kind = message["type"]
     if kind in ("progress", "released", "ping"):
         return None
     if kind == "state":
-        report = report_of(fields_of(message, ""), "")
-        return m.ServerReported(server, report) if report is not None else None
-    named = call_id(message)
-    fields = fields_of(message, named)
-    report = report_of(fields, named)
+        report = parse_load_report(parse_fields(message, ""), "")
+        return ServerReported(server, report) if report is not None else None
+    message_id = parse_call_id(message)
+    fields = parse_fields(message, message_id)
+    report = parse_load_report(fields, message_id)
     if kind == "pong":
-        return m.ServerReported(server, report or api.LoadReport(), named, cause_of(message, named) != 0)
+        return ServerReported(
+            server, report or LoadReport(), message_id, parse_cause(message, message_id) != 0
+        )
     if kind == "answer":
-        return m.ServerAnswered(server, named, description_of(message, named), report, replaced)
+        return ServerAnswered(server, message_id, parse_description(message, message_id), report, replaced)
     if kind == "release":
-        cause = cause_of(message, named)
-        result = RESULTS.get(cause, api.Result.ERROR)
-        why = WHYS.get(str(fields.get("note", "")), api.RefusalReason.UNSPECIFIED)
-        return m.ServerReleased(server, named, cause, result, why, report, replaced)
-    raise UnreadableError(f"unknown type {kind!r}", named)
-
-
-def word_bytes(word: m.CallerMessage) -> bytes:
-    """An outcome, or a call's end, as callers are told it."""
-    match word:
-        case m.Answered(named, description):
-            return encode("answer", named, sdp=description)
-        case m.Refused(named, wait_ms) if wait_ms > 0:
-            return encode("release", named, m.CAUSE_NO_CAPACITY, fields={"wait": f"{math.ceil(wait_ms)}"})
-        case m.Refused(named, _):
-            return encode("release", named, m.CAUSE_NO_CAPACITY)
-        case m.Failed(named, cause) | m.Ended(named, cause):
-            return encode("release", named, cause)
-
-
-def set_up_bytes(request: m.SetUp, left_ms: float) -> bytes:
-    """The set-up as a booking server gets it: id, class, number and description unchanged."""
-    fields = {"class": request.call_class, "left": str(max(1, math.floor(left_ms)))}
+        cause = parse_cause(message, message_id)
+        result = RESULTS_BY_CAUSE.get(cause, Result.ERROR)
+        refusal_reason = REFUSAL_REASONS.get(str(fields.get("note", "")), RefusalReason.UNSPECIFIED)
+        return ServerReleased(server, message_id, cause, result, refusal_reason, report, replaced)
+    raise InvalidMessageError(f"unknown type {kind!r}", message_id)
+
+
+def encode_caller_message(message: CallerMessage) -> bytes:
+    """Encode a call's outcome or end for its caller."""
+    match message:
+        case Answered(message_id, description):
+            return encode("answer", message_id, sdp=description)
+        case Refused(message_id, wait_ms) if wait_ms > 0:
+            return encode("release", message_id, CAUSE_NO_CAPACITY, fields={"wait": f"{math.ceil(wait_ms)}"})
+        case Refused(message_id, _):
+            return encode("release", message_id, CAUSE_NO_CAPACITY)
+        case Failed(message_id, cause) | Ended(message_id, cause):
+            return encode("release", message_id, cause)
+
+
+def encode_set_up(request: SetUp, remaining_ms: float) -> bytes:
+    """Encode a set-up for a booking server, with id, class, number and description unchanged."""
+    fields = {"class": request.call_class, "left": str(max(1, math.floor(remaining_ms)))}
     if request.number:
         fields["key"] = request.number
     return encode("setup", request.id, sdp=request.description, fields=fields)
--- a/capershelf/node.py
+++ b/capershelf/node.py
@@ -21,7 +21,7 @@
 from capershelf.net.connection import start_thread
 from capershelf.net.framing import Framing, Lines
 from capershelf.net.links import Links
-from capershelf.net.vocabulary import Terms
+from capershelf.net.vocabulary import SetUpLimits
 from capershelf.net.websocket import WebSocket
 from capershelf.registry.board import FRESH_MS, Board, read_notices
 from capershelf.registry.eureka import Eureka
@@ -146,7 +146,7 @@
                 planner.memory = keeper
         self.fronts: list[Listener] = []
         self.houses: list[House] = []
-        terms = Terms.of(config.settings)
+        terms = SetUpLimits.from_settings(config.settings)
         wanted = [(config.listen, lines_framing, False)] if config.listen else []
         if config.websocket is not None:
             wanted.append((config.websocket.listen, websocket_framing, True))
@@ -237,7 +237,7 @@
         if self._stopping.is_set():
             return False
         for house in self.houses:
-            house.terms = Terms.of(config.settings)
+            house.terms = SetUpLimits.from_settings(config.settings)
         for number, planner in enumerate(self.planners):
             settings = planner_settings(config.settings, number, len(self.planners))
             planner.inbox.put(m.ApplySettings(settings, config.connect_ms, done))
--- a/capershelf/registry/board.py
+++ b/capershelf/registry/board.py
@@ -144,7 +144,7 @@
     def move(self, address: str) -> None:
         """The numbering goes on: the new address is asked for what follows the last event here."""
         parse_endpoint(address)
-        self._client.move(address)
+        self._client.set_endpoint(address)
 
     def fresh(self) -> bool:
         """Whether the list here is the board's of just now, or it can't be had.  Any thread may ask."""
--- a/capershelf/registry/eureka.py
+++ b/capershelf/registry/eureka.py
@@ -129,7 +129,7 @@
     def _follow(self, url: str) -> None:
         """Another registry: its whole list is fetched, and this proxy registers there anew."""
         endpoint, self._base = split_url(url)
-        self._client.move(endpoint)
+        self._client.set_endpoint(endpoint)
         self._instances, self._registered = None, False
         self._fetch_at_ms = self._clock.now_ms()
         if self._renew_at_ms < math.inf:
--- a/capershelf/stream/follower.py
+++ b/capershelf/stream/follower.py
@@ -177,17 +177,17 @@
             self._clock,
             now_ms + HANDSHAKE_MS,
             lambda: self.inbox.put(Opened(number)),
-            due=self._due,
+            read_deadline=self._due,
         )
         connection.start()
         while self._connection is not None:
             self._step(min(self._beat_ms, self._fetch_by_ms))
-        if connection.dropped:
+        if connection.drop_reason:
             logger.info(
                 "stream: {service} left: {reason}",
                 event="service-left",
                 service=service,
-                reason=connection.dropped,
+                reason=connection.drop_reason,
             )
 
     def _due(self, half_ms: float) -> float:
@@ -239,7 +239,7 @@
 
     def _say(self, message: protocol.Message) -> None:
         if self._connection is not None:
-            self._connection.post(protocol.encode(message))
+            self._connection.send(protocol.encode(message))
 
     def _line(self, data: bytes) -> None:
         self._heard_ms = now_ms = self._clock.now_ms()
--- a/capershelf/stream/service.py
+++ b/capershelf/stream/service.py
@@ -21,7 +21,7 @@
 from capershelf.core.clock import Clock, Inbox
 from capershelf.memory.disk import Folder
 from capershelf.net.addresses import parse_endpoint
-from capershelf.net.connection import Connection, spawn
+from capershelf.net.connection import Connection, start_detached_thread
 from capershelf.net.framing import Framing, Lines
 from capershelf.net.tls import Identity, Tls
 from capershelf.net.websocket import WebSocket
@@ -134,7 +134,7 @@
 
     # -- threads --------------------------------------------------------------------------------------
     def start(self) -> None:
-        spawn(self._accept)
+        start_detached_thread(self._accept)
 
     def _accept(self) -> None:
         while True:
@@ -183,7 +183,7 @@
             for peer in list(self._peers.values()):
                 if now_ms - peer.heard_ms >= protocol.BEAT_MS / 2:
                     peer.heard_ms = now_ms
-                    peer.connection.post(protocol.encode({"type": "beat"}))
+                    peer.connection.send(protocol.encode({"type": "beat"}))
 
     def _admit(self, sock: socket.socket, name: str) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -210,7 +210,7 @@
             name,
             self._clock,
             heard[0] + HANDSHAKE_MS,
-            due=lambda half_ms: heard[0] + SILENT_MS,
+            read_deadline=lambda partial_since_ms: heard[0] + SILENT_MS,
         )
         self._peers[number] = Peer(connection, protocol.ServiceEnd(self._shelf), heard[0])
         connection.start()
@@ -226,7 +226,7 @@
         for step in steps:
             match step:
                 case protocol.Say(message):
-                    peer.connection.post(protocol.encode(message))
+                    peer.connection.send(protocol.encode(message))
                 case protocol.Hang(reason):
                     logger.warning(
                         "control: {proxy} hung up on: {reason}",
--- a/examples/toy_booking_server.py
+++ b/examples/toy_booking_server.py
@@ -37,7 +37,7 @@
         self.connection.start()
 
     def say(self, kind: str, call_id: str, **more: Any) -> None:
-        self.connection.post(json.dumps({"type": kind, "id": call_id, "fields": {}} | more).encode())
+        self.connection.send(json.dumps({"type": kind, "id": call_id, "fields": {}} | more).encode())
 
     def load(self) -> dict[str, str]:
         return {"load": f"spare:{self.lines - len(self.calls)};total:{self.lines};allowed:100"}
--- a/examples/toy_caller.py
+++ b/examples/toy_caller.py
@@ -51,7 +51,7 @@
         fields = {"class": call_class, "left": str(left), "key": number, "extras": f"dest:{dest}"}
         message = {"type": "setup", "id": call_id, "fields": fields, "sdp": "v=0\r\n"}
         began_ms = CLOCK.now_ms()
-        connection.post(json.dumps(message).encode())
+        connection.send(json.dumps(message).encode())
         while (answer := heard.get())["id"] != call_id or answer["type"] not in ("answer", "release"):
             pass
         after_ms = CLOCK.now_ms() - began_ms
--- a/lab/fleet/board.py
+++ b/lab/fleet/board.py
@@ -28,7 +28,7 @@
         self._listener = socket.create_server((host, 0), backlog=16)
         self._listener.setblocking(False)
         self.address = "{}:{}".format(*self._listener.getsockname())
-        stage.poller.watch(self._listener, select.POLLIN, self._accept)
+        stage.poller.register(self._listener, select.POLLIN, self._accept)
 
     def begin(self, life: int, servers: list[BookingServer]) -> dict[str, Any]:
         """A new start of the proxy: the whole list is its first event, which the configuration holds."""
@@ -100,7 +100,7 @@
         by_ms = self.stage.now_ms + float(asked["linger"][0])
         self._waiting.append((wire, int(asked["watch"][0]), by_ms))
         self._answer_all()
-        self.stage.poller.at(by_ms, self._answer_all)
+        self.stage.poller.call_at(by_ms, self._answer_all)
 
     def _answer_all(self) -> None:
         if self.dark:
--- a/lab/fleet/callers.py
+++ b/lab/fleet/callers.py
@@ -244,6 +244,6 @@
                 any(fronts[(first + n) % len(fronts)].arrive(arrival) for n in range(len(fronts)))
                 next_one()
 
-            stage.poller.at(began_ms + arrival.at_ms, come)
+            stage.poller.call_at(began_ms + arrival.at_ms, come)
 
     next_one()
--- a/lab/fleet/day.py
+++ b/lab/fleet/day.py
@@ -396,7 +396,7 @@
         self.look()
         schedule(self.stage, arrivals, began_ms, self.fronts, self.pick)
         for step in script(self.plan.name, self.plan.shape, self.plan.seed):
-            self.stage.poller.at(began_ms + step.at_ms, lambda step=step: self.carry_out(step))  # type: ignore[misc]
+            self.stage.poller.call_at(began_ms + step.at_ms, lambda step=step: self.carry_out(step))  # type: ignore[misc]
 
     def _start_all(self) -> None:
         for proxy in range(self.plan.shape.proxies):
@@ -421,7 +421,7 @@
             finally:
                 done.set()
 
-        self.stage.poller.do(run)
+        self.stage.poller.call_soon(run)
         done.wait(60.0)
 
     def _wait(self, holds: Any, most_ms: float) -> None:
--- a/lab/fleet/stage.py
+++ b/lab/fleet/stage.py
@@ -33,7 +33,7 @@
         super().__init__(clock, "stage")
         self.faults: list[str] = []
 
-    def _guarded(self, what: Callable[[], None]) -> None:
+    def _run_logged(self, what: Callable[[], None]) -> None:
         try:
             what()
         except Exception:
@@ -56,7 +56,7 @@
         return self.clock.now_ms()
 
     def after(self, delay_ms: float, what: Callable[..., None], *args: Any) -> None:
-        self.poller.at(self.now_ms + delay_ms, lambda: what(*args))
+        self.poller.call_at(self.now_ms + delay_ms, lambda: what(*args))
 
     def watch_itself(self) -> None:
         """From here on note how late the thread is."""
@@ -72,7 +72,7 @@
             self._next_beat()
 
         if self._beats:
-            self.poller.at(due_ms, beat)
+            self.poller.call_at(due_ms, beat)
 
 
 class Wire:
@@ -95,7 +95,7 @@
         self._out = bytearray()
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        stage.poller.watch(sock, select.POLLIN, self._ready)
+        stage.poller.register(sock, select.POLLIN, self._ready)
 
     def _ready(self, what: int) -> None:
         if self._out and what & select.POLLOUT:
@@ -141,13 +141,13 @@
             return  # its end is seen on reading
         waited = len(self._out) > sent
         del self._out[:sent]
-        self.stage.poller.watch(self.sock, select.POLLIN | (select.POLLOUT if waited else 0), self._ready)
+        self.stage.poller.register(self.sock, select.POLLIN | (select.POLLOUT if waited else 0), self._ready)
 
     def close(self, reset: bool = False) -> None:
         """Without a word to the owner."""
         if self.open:
             self.open = False
-            self.stage.poller.forget(self.sock)
+            self.stage.poller.unregister(self.sock)
             if reset:
                 with contextlib.suppress(OSError):
                     self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -187,7 +187,7 @@
     def _watch(self) -> None:
         assert self._listener is not None
         self._listener.setblocking(False)
-        self.stage.poller.watch(self._listener, select.POLLIN, self._accept)
+        self.stage.poller.register(self._listener, select.POLLIN, self._accept)
 
     def _accept(self, what: int) -> None:
         if self._listener is None:
@@ -207,7 +207,7 @@
         self.dark = True
         if self._listener is None:
             return
-        self.stage.poller.forget(self._listener)
+        self.stage.poller.unregister(self._listener)
         self._listener.listen(0)
         for _ in range(FILLERS):
             filler = socket.socket()
@@ -249,7 +249,7 @@
         """Nobody listens any more: what knocks is refused, in the dark once it is light again."""
         self._listens = False
         if self._listener is not None and not self.dark:
-            self.stage.poller.forget(self._listener)
+            self.stage.poller.unregister(self._listener)
             self._listener.close()
             self._listener = None
 
@@ -337,7 +337,7 @@
         ]
         if dues and not self._armed:
             self._armed = True
-            self.stage.poller.at(min(dues), self._due)
+            self.stage.poller.call_at(min(dues), self._due)
 
     def _due(self) -> None:
         self._armed = False
--- a/lab/takeover.py
+++ b/lab/takeover.py
@@ -64,10 +64,10 @@
             def message(line: bytes, held: list[Connection] = held) -> None:
                 found = json.loads(line)
                 if found["type"] == "setup":
-                    held[0].post(
+                    held[0].send(
                         json.dumps({"type": "answer", "id": found["id"], "fields": {}, "sdp": "v=0"}).encode()
                     )
-                    held[0].post(
+                    held[0].send(
                         json.dumps({"type": "release", "id": found["id"], "fields": {}, "cause": 16}).encode()
                     )
 
@@ -136,7 +136,7 @@
             time.sleep(left)
         call = f"{number + 1:016x}"
         sent[call] = time.perf_counter()
-        caller.post(
+        caller.send(
             json.dumps(
                 {
                     "type": "setup",
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -62,7 +62,7 @@
         self.awake.wait(PATIENCE_S)
 
     def say(self, kind: str, call_id: str, **more: Any) -> None:
-        assert self.connection.post(json.dumps({"type": kind, "id": call_id, "fields": {}} | more).encode())
+        assert self.connection.send(json.dumps({"type": kind, "id": call_id, "fields": {}} | more).encode())
 
     def hear(self) -> dict[str, Any]:
         return self.got.get(timeout=PATIENCE_S)
--- a/tests/test_caller_states.py
+++ b/tests/test_caller_states.py
@@ -17,12 +17,12 @@
 from capershelf.core.clock import ManualClock, SystemClock
 from capershelf.fronts import session as front
 from capershelf.fronts.listener import Listener
-from capershelf.net.framing import Lines, OverError
-from capershelf.net.vocabulary import Terms
+from capershelf.net.framing import CloseConnectionError, Lines
+from capershelf.net.vocabulary import SetUpLimits
 from tests.peers import PATIENCE_S
 from tests.rig import settings
 
-TERMS = Terms.of(settings(max_retry_after_ms=2000.0))
+TERMS = SetUpLimits.from_settings(settings(max_retry_after_ms=2000.0))
 FIELDS = {"class": "usual", "left": "900", "key": "k", "extras": "dest:0;width:1;via:-1"}
 UNUSABLE: list[dict[str, Any]] = [
     {"class": None},
@@ -94,7 +94,7 @@
         house.ended = lambda session: None
         self.near, self.far = socket.socketpair()
         self.session = front.Session(self.near, Lines(), "127.0.0.1:1", house)
-        self.session.connection.post = self.post  # type: ignore[method-assign]
+        self.session.connection.send = self.post  # type: ignore[method-assign]
         self.owed, self.stood, self.strikes, self.count, self.gone = set[str](), 0, 0, 0, False
 
     def teardown(self) -> None:
@@ -116,11 +116,11 @@
         return 1
 
     def send(self, line: bytes) -> None:
-        """As the connection does: what ends in OverError is hung up on after the last words."""
+        """As the connection does: what ends in CloseConnectionError is hung up on after the last words."""
         try:
             self.session._message(line)
-        except OverError as over:
-            assert over.foul
+        except CloseConnectionError as over:
+            assert over.invalid_message
             self.session._foul(str(over))
             self.gone = True
             assert not self.owed, "a call without its outcome"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -57,10 +57,10 @@
     connection, far, said = slow_pair()
     shut, open_, turned = Gate(False), Gate(), Gate()
     for name, gate in (("shut", shut), ("open", open_), ("turned", turned)):
-        assert connection.post(name.encode(), name, gate)
+        assert connection.send(name.encode(), name, gate)
     assert shut.asked == open_.asked == turned.asked == 0, "asked before it can be written"
     turned.opens = False  # its caller leaves while it waits in the outbox
-    connection.finish()
+    connection.close_after_flush()
     assert lines_of(far) == [*said, "open", ""]
     assert (shut.drops, open_.drops, turned.drops) == (1, 0, 1)
     assert open_.asked == 1, "a message that has begun is not asked for again"
@@ -69,11 +69,11 @@
 def test_a_message_that_is_half_written_is_not_dropped_by_its_gate() -> None:
     connection, far, said = slow_pair()
     gate = Gate()
-    assert connection.post(b"y" * 40_000, "a", gate)
+    assert connection.send(b"y" * 40_000, "a", gate)
     read_until_half_written(connection, far)
     gate.opens = False  # a rest that never comes would spoil what follows
-    assert connection.post(b"next")
-    connection.finish()
+    assert connection.send(b"next")
+    connection.close_after_flush()
     assert lines_of(far)[-2:] == ["next", ""]
     assert gate.drops == 0
 
@@ -83,9 +83,9 @@
     connection = Connection(near, Lines(), lambda line: None, lambda: None, "x", SystemClock(), math.inf)
     connection.start()
     gate = Gate(False)
-    assert connection.post(b"no", "a", gate)
-    assert connection.post(b"yes")
-    connection.finish()
+    assert connection.send(b"no", "a", gate)
+    assert connection.send(b"yes")
+    connection.close_after_flush()
     assert lines_of(far) == ["yes", ""] and gate.drops == 1
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -21,8 +21,8 @@
 from capershelf.fronts.session import House
 from capershelf.net.addresses import parse_endpoint
 from capershelf.net.framing import Lines
-from capershelf.net.links import LATER_MS, Link, Repairs
-from capershelf.net.vocabulary import Terms
+from capershelf.net.links import REPLACEMENT_RETRY_MS, Link, ReplacementSlots
+from capershelf.net.vocabulary import SetUpLimits
 from capershelf.node import LEAST_LINKS, OWN_SOCKETS, callers_share, links_share
 from tests.peers import PATIENCE_S, BookingServer, Peer, until
 from tests.rig import settings
@@ -43,7 +43,14 @@
         events.put(event)
         return 1
 
-    house = House(SystemClock(), Terms.of(settings()), lambda call: events.put, every, lambda: True, False)
+    house = House(
+        SystemClock(),
+        SetUpLimits.from_settings(settings()),
+        lambda call: events.put,
+        every,
+        lambda: True,
+        False,
+    )
     made = door.Listener("127.0.0.1:0", lambda full: None if full else Lines(), MOST, house)
     made.start()
     yield made
@@ -77,7 +84,11 @@
         sock.sendall(says)
         until(lambda number=number: len(held) == number + 2)  # type: ignore[misc]
         if says:  # it has been read: no message of theirs is on its way
-            until(lambda: all(one.connection.half() or not one.silent for one in listener._sessions))
+            until(
+                lambda: all(
+                    one.connection.has_partial_message() or not one.silent for one in listener._sessions
+                )
+            )
         idle.append(sock)
     assert max(held) <= MOST, "let in before a place was free"
     late = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
@@ -99,14 +110,14 @@
         until(lambda number=number: len(listener._sessions) == number + 1)  # type: ignore[misc]
     oldest = sorted(listener._sessions, key=lambda session: session.at_ms)[: door.ROOM]
     for session in oldest:
-        session.connection._busy = True
+        session.connection._processing = True
     late = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
     late.say("setup", "00000000000000a2", fields={"class": "usual", "left": "5000"}, sdp="v=0")
     until(lambda: listener._house.owed == 1 or late.closed.is_set())
     assert not late.closed.is_set() and listener._house.owed == 1
     assert all(session in listener._sessions for session in oldest)
     for session in oldest:
-        session.connection._busy = False
+        session.connection._processing = False
     for sock in idle:
         sock.close()
 
@@ -189,7 +200,7 @@
 def session_on(near: socket.socket) -> front.Session:
     house = House(
         SystemClock(),
-        Terms.of(settings()),
+        SetUpLimits.from_settings(settings()),
         lambda call: lambda event: None,
         lambda event: 1,
         lambda: True,
@@ -227,27 +238,35 @@
 class NoPoller:
     """Notes what it is told to do, and does none of it."""
 
-    def do(self, what: Any) -> None: ...
-    def at(self, at_ms: float, what: Any) -> None: ...
-    def watch(self, sock: socket.socket, mask: int, came: Any) -> None: ...
-    def forget(self, sock: socket.socket) -> None: ...
+    def call_soon(self, what: Any) -> None: ...
+    def call_at(self, at_ms: float, what: Any) -> None: ...
+    def register(self, sock: socket.socket, mask: int, came: Any) -> None: ...
+    def unregister(self, sock: socket.socket) -> None: ...
 
 
 def test_links_that_fall_silent_together_are_replaced_few_at_a_time() -> None:
-    clock, repairs = ManualClock(), Repairs(2)
+    clock, replacement_slots = ManualClock(), ReplacementSlots(2)
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = "{}:{}".format(*server.getsockname())
         links = [
-            Link(f"s{n}", address, clock, 500.0, lambda event: None, NoPoller(), repairs=repairs)  # type: ignore[arg-type]
+            Link(
+                f"s{n}",
+                address,
+                clock,
+                500.0,
+                lambda event: None,
+                NoPoller(),  # type: ignore[arg-type]
+                replacement_slots=replacement_slots,
+            )
             for n in range(4)
         ]
         for link in links:
-            link._gap_ms = 500.0
-            assert link._late()
-        assert [link._dial is not None for link in links] == [True, True, False, False]
-        assert links[2]._due(math.inf) >= clock.now_ms() + LATER_MS
-        links[0]._dialled(None, ConnectionRefusedError())
-        assert links[3]._late() and links[3]._dial is not None, "a place is free again"
+            link._heartbeat_gap_ms = 500.0
+            assert link._on_timeout()
+        assert [link._connect_attempt is not None for link in links] == [True, True, False, False]
+        assert links[2]._read_deadline(math.inf) >= clock.now_ms() + REPLACEMENT_RETRY_MS
+        links[0]._on_connect_result(None, ConnectionRefusedError())
+        assert links[3]._on_timeout() and links[3]._connect_attempt is not None, "a place is free again"
         for link in links:
-            link._end()
-        assert repairs._left == 2
+            link._shut_down()
+        assert replacement_slots._available == 2
--- a/tests/test_framing_states.py
+++ b/tests/test_framing_states.py
@@ -11,11 +11,11 @@
 from hypothesis import settings as hypothesis_settings
 
 from capershelf.net import websocket as ws
-from capershelf.net.buffers import MESSAGE_BYTES, POOL
-from capershelf.net.framing import Framing, Lines, OverError, Reply
+from capershelf.net.buffers import MAX_MESSAGE_BYTES, POOL
+from capershelf.net.framing import CloseConnectionError, Framing, Lines, Reply
 
 STEADY = hypothesis_settings(derandomize=True, deadline=None, max_examples=80, database=None)
-TEXTS = st.text(max_size=40) | st.sampled_from(["x" * 125, "y" * 126, "é" * 400, "z" * MESSAGE_BYTES])
+TEXTS = st.text(max_size=40) | st.sampled_from(["x" * 125, "y" * 126, "é" * 400, "z" * MAX_MESSAGE_BYTES])
 BREACHES: dict[str, tuple[Callable[[bytes], bytes], int]] = {
     # What a peer sends against the rules, given its mask, and the close code.
     "reserved bit": (
@@ -29,10 +29,11 @@
         lambda k: ws.build_frame(ws.TEXT, b"\xc3", k, False) + ws.build_frame(ws.CONTINUATION, b"a", k),
         1007,
     ),
-    "too big": (lambda k: ws.build_frame(ws.TEXT, b"a" * (MESSAGE_BYTES + 1), k), 1009),
+    "too big": (lambda k: ws.build_frame(ws.TEXT, b"a" * (MAX_MESSAGE_BYTES + 1), k), 1009),
     "too big in fragments": (
         lambda k: (
-            ws.build_frame(ws.TEXT, b"a" * MESSAGE_BYTES, k, False) + ws.build_frame(ws.CONTINUATION, b"a", k)
+            ws.build_frame(ws.TEXT, b"a" * MAX_MESSAGE_BYTES, k, False)
+            + ws.build_frame(ws.CONTINUATION, b"a", k)
         ),
         1009,
     ),
@@ -66,12 +67,12 @@
     messages: list[bytes] = []
     replies: list[bytes] = []
     while data:
-        space = framing.space()
+        space = framing.read_buffer()
         assert len(space), "no room to read into"
         bite = data[: len(space)]
         space[: len(bite)] = bite
         data = data[len(bite) :]
-        for found in framing.filled(len(bite)):
+        for found in framing.parse(len(bite)):
             (replies if isinstance(found, Reply) else messages).append(bytes(found))
     return messages, replies
 
@@ -79,7 +80,7 @@
 def pair() -> tuple[ws.WebSocket, ws.WebSocket]:
     """Client and server after their handshake."""
     client, server = ws.WebSocket("127.0.0.1:1"), ws.WebSocket()
-    _, [answer] = feed(server, client.opening())
+    _, [answer] = feed(server, client.handshake_data())
     assert feed(client, answer) == ([], [])
     assert client.opened
     assert server.opened
@@ -98,7 +99,7 @@
 def test_messages_arrive_whole_and_a_breach_gets_its_code(
     to_server: bool, sent: list[tuple[str, int, bool]], cuts: list[int], breach: str
 ) -> None:
-    taken = POOL.out
+    taken = POOL.in_use
     client, server = pair()
     near, far, mask = (client, server, b"mask") if to_server else (server, client, b"")
     data, pings = b"", 0
@@ -119,15 +120,15 @@
     assert heard == [text.encode() for text, _, _ in sent]
     assert pings == 0
     make, code = BREACHES[breach]
-    with pytest.raises(OverError) as over:
+    with pytest.raises(CloseConnectionError) as over:
         feed(far, make(mask))
-    with pytest.raises(OverError, match=f"closed with {code}"):
-        feed(near, over.value.farewell)
-    assert far.farewell(1000, "") == b"", "a second close frame"
-    near.done()
-    far.done()
-    far.done()
-    assert POOL.out == taken, "a buffer was not given back, or twice"
+    with pytest.raises(CloseConnectionError, match=f"closed with {code}"):
+        feed(near, over.value.final_data)
+    assert far.close_frame(1000, "") == b"", "a second close frame"
+    near.release_buffers()
+    far.release_buffers()
+    far.release_buffers()
+    assert POOL.in_use == taken, "a buffer was not given back, or twice"
 
 
 @seed(0xA2E6398B845B14CDC24CDDA5FEBD2ED9A749935FCF33382FF542ED12EB9149E245BC14ADEFF1F936CDF4FF5327C1A79F)
@@ -142,7 +143,7 @@
     texts: list[str], at: int, times: int, cuts: list[int]
 ) -> None:
     lines = Lines()
-    long = b"l" * (MESSAGE_BYTES * times + 1)
+    long = b"l" * (MAX_MESSAGE_BYTES * times + 1)
     sent = [text.encode() for text in texts]
     heard = [
         message
@@ -150,12 +151,12 @@
         for message in feed(lines, piece)[0]
     ]
     assert heard == [line for line in sent[:at] if line.strip()]
-    assert not lines.half
-    with pytest.raises(OverError) as over:
+    assert not lines.has_partial_message
+    with pytest.raises(CloseConnectionError) as over:
         for piece in pieces(lines.frame(long) + b"".join(map(lines.frame, sent[at:])), cuts):
             assert feed(lines, piece) == ([], [])
-    assert over.value.foul
-    lines.done()
+    assert over.value.invalid_message
+    lines.release_buffers()
 
 
 @pytest.mark.parametrize(
@@ -172,29 +173,29 @@
 )
 def test_a_bad_handshake_gets_its_status(change: tuple[str, str], status: bytes) -> None:
     server = ws.WebSocket()
-    with pytest.raises(OverError) as over:
-        feed(server, ws.WebSocket("h").opening().decode().replace(*change).encode())
-    assert over.value.farewell.split(b" ")[1] == status
+    with pytest.raises(CloseConnectionError) as over:
+        feed(server, ws.WebSocket("h").handshake_data().decode().replace(*change).encode())
+    assert over.value.final_data.split(b" ")[1] == status
     assert not server.opened
 
 
 def test_the_accept_key_is_that_of_the_rfc_and_a_wrong_one_is_not_taken() -> None:
     assert ws.accept_key("dGhlIHNhbXBsZSBub25jZQ==") == "s3pPLMBiTxaQ9kYGzzhZRbK+xOo="
     client, server = ws.WebSocket("h"), ws.WebSocket()
-    _, [answer] = feed(server, ws.WebSocket("h").opening())
-    with pytest.raises(OverError):
+    _, [answer] = feed(server, ws.WebSocket("h").handshake_data())
+    with pytest.raises(CloseConnectionError):
         feed(client, answer)
     assert not client.opened
 
 
 def test_a_full_front_says_so_after_the_handshake() -> None:
     client, server = ws.WebSocket("h"), ws.WebSocket(full=True)
-    space = server.space()
-    opening = client.opening()
+    space = server.read_buffer()
+    opening = client.handshake_data()
     space[: len(opening)] = opening
-    answers = server.filled(len(opening))
+    answers = server.parse(len(opening))
     feed(client, next(answers))
-    with pytest.raises(OverError) as over:
+    with pytest.raises(CloseConnectionError) as over:
         next(answers)
-    with pytest.raises(OverError, match="1013"):
-        feed(client, over.value.farewell)
+    with pytest.raises(CloseConnectionError, match="1013"):
+        feed(client, over.value.final_data)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -16,7 +16,7 @@
 from capershelf.fronts.session import CREDIT
 from capershelf.interface import ListedServer, ServerStatus
 from capershelf.net.connection import start_thread
-from capershelf.net.links import HALF_MS, HEAR_OUT_MS, LATES, Link
+from capershelf.net.links import MAX_HEARTBEAT_TIMEOUTS, PARTIAL_MESSAGE_TIMEOUT_MS, REPLACED_READ_MS, Link
 from capershelf.net.poller import Poller
 from capershelf.node import planner_settings
 from tests.peers import PATIENCE_S, BookingServer, Peer, Stage, until
@@ -252,9 +252,9 @@
         assert stage.servers[0].hear()["id"] == call
     dropped = stage.links[0]
     if stage.websocket and len(answer) > 16384:
-        dropped.connection._post(b"\x81\x7e" + len(answer).to_bytes(2, "big") + answer)
+        dropped.connection._enqueue(b"\x81\x7e" + len(answer).to_bytes(2, "big") + answer)
     else:
-        assert dropped.connection.post(answer)
+        assert dropped.connection.send(answer)
     assert dropped.closed.wait(PATIENCE_S)
     stage.links[0] = stage.again(0)
     stage.until(lambda: all(call.attempt is None for call in stage.planner.calls.by_key.values()))
@@ -320,7 +320,7 @@
     for call in (A, B):
         caller.set_up(call)
         assert stage.servers[0].hear()["id"] == call
-    assert caller.connection.post(b'{"type":"setup"}')
+    assert caller.connection.send(b'{"type":"setup"}')
     told = {outcome(caller.hear())[:3] for _ in range(2)}
     assert told == {("release", A, 100), ("release", B, 100)}
     assert outcome(caller.hear())[:3] == ("release", "", 100)
@@ -418,10 +418,10 @@
     done = threading.Event()
 
     def late() -> None:
-        link._late()
+        link._on_timeout()
         done.set()
 
-    link._poller.do(late)
+    link._poller.call_soon(late)
     assert done.wait(PATIENCE_S)
 
 
@@ -430,32 +430,38 @@
     link, first, up = one_link(server, clock)
     state = b'{"type":"state","id":"0000000000000000","fields":{"load":"spare:1;total:2"}}'
     for gap in (0.0, 130.0, 500.0, 510.0, 490.0):  # the first comes with the opening, out of step
-        assert link._due(math.inf) == math.inf, "no pulse is known yet"
+        assert link._read_deadline(math.inf) == math.inf, "no pulse is known yet"
         clock.advance(gap)
         link._message(state, link._epoch)
-    assert HALF_MS < 200.0, "what was called off meanwhile is sent again after its end"
-    assert link._due(math.inf) == clock.now_ms() + 1.4 * 510.0 + 50.0
+    assert PARTIAL_MESSAGE_TIMEOUT_MS < 200.0, "what was called off meanwhile is sent again after its end"
+    assert link._read_deadline(math.inf) == clock.now_ms() + 1.4 * 510.0 + 50.0
     clock.advance(300.0)
     link._message(b'{"type":"released","id":"00000000000000a0"}', link._epoch)
-    assert link._due(math.inf) == clock.now_ms() + 764.0, "whatever comes shows that the connection lives"
-    assert link._due(clock.now_ms()) == clock.now_ms() + HALF_MS, "half a message"
+    assert link._read_deadline(math.inf) == clock.now_ms() + 764.0, (
+        "whatever comes shows that the connection lives"
+    )
+    assert link._read_deadline(clock.now_ms()) == clock.now_ms() + PARTIAL_MESSAGE_TIMEOUT_MS, (
+        "half a message"
+    )
     clock.advance(800.0)
     fall_silent(link)
     spare = server.peer()
     up()
     assert first.closed.wait(PATIENCE_S)
-    assert link._due(math.inf) == link._heard_ms + 764.0, "the new connection is held to it from its start"
+    assert link._read_deadline(math.inf) == link._last_received_ms + 764.0, (
+        "the new connection is held to it from its start"
+    )
     server.listener.shutdown(socket.SHUT_RDWR)
     server.listener.close()
     fall_silent(link)
-    until(lambda: not link._in_place)
+    until(lambda: not link._replacing)
     assert not spare.closed.is_set(), "it drains: the old connection is kept"
-    assert link._due(math.inf) == math.inf
+    assert link._read_deadline(math.inf) == math.inf
     for gap in (100.0, 900.0, 200.0, 200.0, 200.0):
-        assert link._due(math.inf) == math.inf, "uneven: its silence tells nothing"
+        assert link._read_deadline(math.inf) == math.inf, "uneven: its silence tells nothing"
         clock.advance(gap)
         link._message(state, link._epoch)
-    assert link._due(math.inf) < math.inf
+    assert link._read_deadline(math.inf) < math.inf
     link.end()
     assert spare.closed.wait(PATIENCE_S)
 
@@ -463,26 +469,26 @@
 def test_a_server_without_a_pulse_is_not_replaced_for_ever() -> None:
     clock, server = ManualClock(), BookingServer(False)
     link, _, up = one_link(server, clock)
-    link._gap_ms = 500.0
-    for _ in range(LATES):
-        assert link._due(math.inf) < math.inf
+    link._heartbeat_gap_ms = 500.0
+    for _ in range(MAX_HEARTBEAT_TIMEOUTS):
+        assert link._read_deadline(math.inf) < math.inf
         fall_silent(link)
         up()
-    assert link._due(math.inf) == math.inf
+    assert link._read_deadline(math.inf) == math.inf
     link.end()
 
 
 def test_a_server_that_speaks_while_another_connection_is_made_keeps_its_own() -> None:
     clock, server = ManualClock(), BookingServer(False)
     link, first, _ = one_link(server, clock)
-    link._gap_ms = 500.0
+    link._heartbeat_gap_ms = 500.0
 
     def late_and_then_heard() -> None:  # all before the new connection can be seen to be up
-        link._late()
+        link._on_timeout()
         clock.advance(5.0)
         link._message(b'{"type":"released","id":"00000000000000a0"}', link._epoch)
 
-    link._poller.do(late_and_then_heard)
+    link._poller.call_soon(late_and_then_heard)
     unused = server.peer()
     assert unused.closed.wait(PATIENCE_S)
     assert not first.closed.is_set()
@@ -507,7 +513,7 @@
         old.sendall(b'{"type":"release","id":"%s","fields":{},"cause":16}\n' % A.encode())
         event = told.get(timeout=PATIENCE_S)
         assert isinstance(event, m.ServerReleased) and event.id == A and event.on_replaced_connection
-        clock.advance(HEAR_OUT_MS)
+        clock.advance(REPLACED_READ_MS)
         link.end()
         assert new.recv(1) == b""
         old.close()
--- a/tests/test_memory_running.py
+++ b/tests/test_memory_running.py
@@ -253,7 +253,7 @@
                 peer = self.peers.get()
             if message["type"] == "setup":
                 self.calls[message["id"]] += 1
-                peer.connection.post(
+                peer.connection.send(
                     json.dumps({"type": "answer", "id": message["id"], "fields": {}, "sdp": "v=0"}).encode()
                 )
 
@@ -302,7 +302,7 @@
         connection.start()
         fields = {"class": "slot-confirm", "left": "2000", "key": call[:8]}
         fields["extras"] = f"dest:{int(call, 16) % 2}"
-        connection.post(
+        connection.send(
             json.dumps({"type": "setup", "id": call, "fields": fields, "sdp": "v=0\r\n"}).encode()
         )
         self.taken.add(call)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -22,7 +22,7 @@
 from capershelf.net.addresses import parse_endpoint
 from capershelf.net.connection import Connection, start_thread
 from capershelf.net.framing import Lines
-from capershelf.net.vocabulary import Terms
+from capershelf.net.vocabulary import SetUpLimits
 from tests.peers import PATIENCE_S, BookingServer, Peer, until
 from tests.rig import listed, settings
 from tests.test_planner_states import FakeCaller, FakeServers
@@ -122,7 +122,12 @@
     def __init__(self) -> None:
         self.put = queue.SimpleQueue[m.Event]()
         self.house = House(
-            SystemClock(), Terms.of(SETTINGS), lambda call: self.put.put, self.every, lambda: True, False
+            SystemClock(),
+            SetUpLimits.from_settings(SETTINGS),
+            lambda call: self.put.put,
+            self.every,
+            lambda: True,
+            False,
         )
         self.listener = Listener("127.0.0.1:0", lambda full: Lines(), 10, self.house)
 
@@ -203,9 +208,9 @@
     connection = Connection(near, Lines(), lambda line: None, lambda: None, "slow", SystemClock(), math.inf)
     connection.start()
     said: list[str] = []
-    while connection.written():
+    while connection.is_flushed():
         said.append(json.dumps({"number": len(said), "filling": "x" * 3000}))
-        assert connection.post(said[-1].encode())
+        assert connection.send(said[-1].encode())
     return connection, far, said
 
 
@@ -219,12 +224,12 @@
 def test_a_set_up_in_an_outbox_can_be_taken_back_until_its_first_byte_is_written() -> None:
     connection, far, said = slow_pair()
     for tag in ("a", "b", "c"):
-        assert connection.post(tag.encode(), tag)
+        assert connection.send(tag.encode(), tag)
     assert connection.withdraw("b") == {"b"}
     assert connection.withdraw() == {"a", "c"}
     assert connection.withdraw() == set()
-    assert connection.post(b"last")
-    connection.finish()
+    assert connection.send(b"last")
+    connection.close_after_flush()
     assert lines_of(far) == [*said, "last", ""]
 
 
@@ -232,7 +237,7 @@
     """Read on the far side until a part of the message of 40,001 bytes under the tag "a" is written."""
 
     def begun() -> bool:
-        data, tag, _ = connection._outbox[0]
+        data, tag, _ = connection._write_queue[0]
         if tag == "a" and len(data) < 40_001:
             return True
         far.recv(1024)
@@ -243,7 +248,7 @@
 
 def test_one_that_is_half_written_is_broken_off_where_it_is_asked_for_by_name() -> None:
     connection, far, _ = slow_pair()
-    assert connection.post(b"y" * 40_000, "a")
+    assert connection.send(b"y" * 40_000, "a")
     read_until_half_written(connection, far)
     assert connection.withdraw() == set(), "its first byte is out: it may arrive"
     assert connection.withdraw("a") == set()
@@ -252,8 +257,8 @@
 
 def test_what_was_told_a_slow_reader_is_written_before_the_connection_ends() -> None:
     connection, far, said = slow_pair()
-    connection.finish()
-    assert not connection.post(b"too late")
+    connection.close_after_flush()
+    assert not connection.send(b"too late")
     assert lines_of(far) == [*said, ""]
 
 
--- a/tests/test_stream_running.py
+++ b/tests/test_stream_running.py
@@ -450,7 +450,7 @@
             CLOCK.now_ms() + 9000.0,
         )
         connection.start()
-        connection.post(p.encode({"type": "hello", "proxy": name, "speaks": [1], "can": ["whole"]}))
+        connection.send(p.encode({"type": "hello", "proxy": name, "speaks": [1], "can": ["whole"]}))
         peers.append(connection)
     until(lambda: len(service.service.fleet.proxies) == 3)
     push(tmp_path, attempts(4))
@@ -466,7 +466,7 @@
     [first] = seen
     digest = p.Published.of(Number(1, 1), attempts(4)).digest
     connection = peers["abc".index(first)]
-    connection.post(p.encode({"type": "ack", "epoch": 1, "version": 1, "digest": digest, "notes": []}))
+    connection.send(p.encode({"type": "ack", "epoch": 1, "version": 1, "digest": digest, "notes": []}))
     until(lambda: [offered(name) for name in heard].count(True) == 3)
 
     def status() -> dict[str, Any]:
--- a/tests/test_stream_size.py
+++ b/tests/test_stream_size.py
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self.sent: list[dict[str, Any]] = []
 
-    def post(self, data: bytes) -> bool:
+    def send(self, data: bytes) -> bool:
         self.sent.append(json.loads(data))
         return True
 
