--- a/capershelf/net/links.py
+++ b/capershelf/net/links.py
@@ -38,7 +38,7 @@
 HEARTBEAT_TIMEOUT_GAPS = 1.4
 HEARTBEAT_TIMEOUT_SLACK_MS = 50.0  # added to the gaps
 MAX_HEARTBEAT_TIMEOUTS = 4  # on consecutive connections, after which the server counts as having no heartbeat
-# Descriptors beyond the links' share, for attempts to replace silent connections and for replaced connections.
+# Descriptors beyond the links' share, for attempts to replace silent connections and replaced connections.
 MAX_REPLACEMENTS = 16
 REPLACEMENT_RETRY_MS = 100.0  # before a silent connection is checked again when no replacement slot was free
 REPLACED_READ_MS = 1000.0  # how long a replaced connection is still read
@@ -165,8 +165,8 @@
 class Link:
     """A connection to one server that is reopened with backoff, or at once when a call needs it.
 
-    connect(), disconnect(), end(), send(), withdraw() and is_flushed() are called by the planner's thread, the
-    other methods by the poller's.
+    connect(), disconnect(), end(), send(), withdraw() and is_flushed() are called by the planner's thread,
+    the other methods by the poller's.
     """
 
     def __init__(
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Small callers and booking servers of our own, over either transport, and a node on a manual clock."""
+"""Test callers and booking servers over either transport, and a node on a manual clock."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from capershelf.net.websocket import WebSocket
 from capershelf.node import Node
 
-PATIENCE_S = 20.0  # a test that waits so long hangs: no verdict hangs on less
+PATIENCE_S = 20.0  # a test that waits this long has hung; no result depends on shorter times
 OPERATOR = Path(__file__).parent.parent / "deploy" / "operator.toml"
 
 
 def until(holds: Callable[[], object]) -> None:
-    """Wait for what another thread brings about."""
+    """Wait until another thread has made the condition true."""
     pause = threading.Event()
     for _ in range(int(PATIENCE_S * 1000)):
         if holds():
             return
         pause.wait(0.001)
-    raise AssertionError("it never came about")
+    raise AssertionError("the condition never became true")
 
 
 class Peer:
-    """One end of a connection that keeps what it is told."""
+    """One end of a connection that keeps the messages it receives."""
 
     def __init__(self, sock: socket.socket, framing: Framing, got: queue.SimpleQueue[dict[str, Any]]) -> None:
         self.sock, self.got = sock, got
@@ -55,7 +55,7 @@
 
     def _closed(self) -> None:
         self.closed.set()
-        self.opened.set()  # for a front that is full may close before it has opened
+        self.opened.set()  # a full listener may close before the connection has opened
 
     def _message(self, line: bytes) -> None:
         self.got.put(json.loads(line))
@@ -72,13 +72,13 @@
         self.say("setup", call_id, fields=fields, sdp=f"sdp of {call_id}\r\n")
 
     def leave(self) -> None:
-        """Go without a word."""
+        """Shut down the connection without a message."""
         self.sock.shutdown(socket.SHUT_RDWR)
         assert self.closed.wait(PATIENCE_S)
 
 
 class BookingServer:
-    """Listens and keeps what it is told, over all of its connections."""
+    """Listens, and keeps the messages received on all of its connections."""
 
     def __init__(self, websocket: bool) -> None:
         self.websocket = websocket
@@ -104,7 +104,7 @@
 
 
 class Stage:
-    """A node with both fronts and booking servers, on a clock that the test advances."""
+    """A node with both listeners, and booking servers, on a clock that the test advances."""
 
     def __init__(self, websocket: bool, servers: int = 2, **changes: Any) -> None:
         self.websocket = websocket
@@ -120,7 +120,7 @@
         pool = {"rev": 1, "all": True, "targets": targets}
         table["known"] = {"rev": 1, "notices": [{"rev": 1, "pool": pool}]}
         self.node = Node(configuration.read(table, {}), self.clock)
-        self.attempts: list[tuple[float, str, str, float]] = []  # when, call, server, time left
+        self.attempts: list[tuple[float, str, str, float]] = []  # time, call, server, time left
         self.planner = self.node.planners[0]
         links = self.planner.servers
         send: Callable[[str, int, m.SetUp, float, m.WriteGate], None] = links.set_up
@@ -133,13 +133,13 @@
         self.node.start()
         self.settle()
         for server in self.planner._known:
-            links.connect(server)  # else each is opened some time later, spread over a fleet's proxies
+            links.connect(server)  # otherwise links open after a random delay
         self.links = [server.peer() for server in self.servers]
         self.until(lambda: all(known.epoch is not None for known in self.planner._known.values()))
         self._epochs = {known.id: known.epoch for known in self.planner._known.values()}
 
     def again(self, number: int, name: str = "") -> Peer:
-        """The next connection to that server, now and not when its pause is over; the planner knows it."""
+        """Reconnect to that server without backoff, and wait until the planner has seen the connection."""
         name = name or f"s{number}"
         self.settle()
         self.planner.servers.connect(name)
@@ -158,7 +158,7 @@
         return Peer(sock, framing, queue.SimpleQueue())
 
     def settle(self) -> None:
-        """Let the planner deal with all that has reached it."""
+        """Wait until the planner has handled all events put so far."""
         done = threading.Event()
         self.planner.inbox.put(m.InboxBarrier(done.set))
         assert done.wait(PATIENCE_S)
--- a/tests/test_framing_states.py
+++ b/tests/test_framing_states.py
@@ -1,4 +1,4 @@
-"""A model of both framings: random messages in random pieces, and one breach with the code it must get."""
+"""Both framings with random messages split at random, and each protocol violation with its close code."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 STEADY = hypothesis_settings(derandomize=True, deadline=None, max_examples=80, database=None)
 TEXTS = st.text(max_size=40) | st.sampled_from(["x" * 125, "y" * 126, "é" * 400, "z" * MAX_MESSAGE_BYTES])
-BREACHES: dict[str, tuple[Callable[[bytes], bytes], int]] = {
-    # What a peer sends against the rules, given its mask, and the close code.
+VIOLATIONS: dict[str, tuple[Callable[[bytes], bytes], int]] = {
+    # What a peer sends in violation of the protocol, given its mask, and the resulting close code.
     "reserved bit": (
         lambda k: bytes([ws.build_frame(ws.TEXT, b"a", k)[0] | 0x40]) + ws.build_frame(ws.TEXT, b"a", k)[1:],
         1002,
@@ -63,22 +63,22 @@
 
 
 def feed(framing: Framing, data: bytes) -> tuple[list[bytes], list[bytes]]:
-    """Messages and replies, whatever size of bites the buffer leaves."""
+    """Feed data in chunks that fit the read buffer; returns the messages and replies."""
     messages: list[bytes] = []
     replies: list[bytes] = []
     while data:
         space = framing.read_buffer()
         assert len(space), "no room to read into"
-        bite = data[: len(space)]
-        space[: len(bite)] = bite
-        data = data[len(bite) :]
-        for found in framing.parse(len(bite)):
+        chunk = data[: len(space)]
+        space[: len(chunk)] = chunk
+        data = data[len(chunk) :]
+        for found in framing.parse(len(chunk)):
             (replies if isinstance(found, Reply) else messages).append(bytes(found))
     return messages, replies
 
 
 def pair() -> tuple[ws.WebSocket, ws.WebSocket]:
-    """Client and server after their handshake."""
+    """A client and a server with a completed handshake."""
     client, server = ws.WebSocket("127.0.0.1:1"), ws.WebSocket()
     _, [answer] = feed(server, client.handshake_data())
     assert feed(client, answer) == ([], [])
@@ -87,17 +87,17 @@
     return client, server
 
 
-# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+# Explicit, as hypothesis otherwise derives the seed from the test's source text, which a rename changes.
 @seed(0x678D0246173C279F58EEF7D3AF83EC02155CCA8FEF57941B1E501AD3B10BE36683BEC501C69A39375E9C42243611FA2B)
 @STEADY
 @given(
     st.booleans(),
     st.lists(st.tuples(TEXTS, st.integers(0, 30), st.booleans()), max_size=6),
     st.lists(st.integers(1, 5000), max_size=8),
-    st.sampled_from(sorted(BREACHES)),
+    st.sampled_from(sorted(VIOLATIONS)),
 )
-def test_messages_arrive_whole_and_a_breach_gets_its_code(
-    to_server: bool, sent: list[tuple[str, int, bool]], cuts: list[int], breach: str
+def test_messages_arrive_complete_and_a_violation_gets_its_close_code(
+    to_server: bool, sent: list[tuple[str, int, bool]], cuts: list[int], violation: str
 ) -> None:
     taken = POOL.in_use
     client, server = pair()
@@ -119,7 +119,7 @@
         pings -= len(replies)
     assert heard == [text.encode() for text, _, _ in sent]
     assert pings == 0
-    make, code = BREACHES[breach]
+    make, code = VIOLATIONS[violation]
     with pytest.raises(CloseConnectionError) as over:
         feed(far, make(mask))
     with pytest.raises(CloseConnectionError, match=f"closed with {code}"):
@@ -128,7 +128,7 @@
     near.release_buffers()
     far.release_buffers()
     far.release_buffers()
-    assert POOL.in_use == taken, "a buffer was not given back, or twice"
+    assert POOL.in_use == taken, "a buffer was not released, or released twice"
 
 
 @seed(0xA2E6398B845B14CDC24CDDA5FEBD2ED9A749935FCF33382FF542ED12EB9149E245BC14ADEFF1F936CDF4FF5327C1A79F)
@@ -139,11 +139,11 @@
     st.integers(1, 3),
     st.lists(st.integers(1, 20000), max_size=8),
 )
-def test_lines_arrive_whole_and_one_too_long_ends_the_connection(
+def test_lines_arrive_complete_and_an_oversized_one_closes_the_connection(
     texts: list[str], at: int, times: int, cuts: list[int]
 ) -> None:
     lines = Lines()
-    long = b"l" * (MAX_MESSAGE_BYTES * times + 1)
+    oversized = b"l" * (MAX_MESSAGE_BYTES * times + 1)
     sent = [text.encode() for text in texts]
     heard = [
         message
@@ -153,7 +153,7 @@
     assert heard == [line for line in sent[:at] if line.strip()]
     assert not lines.has_partial_message
     with pytest.raises(CloseConnectionError) as over:
-        for piece in pieces(lines.frame(long) + b"".join(map(lines.frame, sent[at:])), cuts):
+        for piece in pieces(lines.frame(oversized) + b"".join(map(lines.frame, sent[at:])), cuts):
             assert feed(lines, piece) == ([], [])
     assert over.value.invalid_message
     lines.release_buffers()
@@ -171,7 +171,7 @@
         (("Host", "H" * 17000), b"431"),
     ],
 )
-def test_a_bad_handshake_gets_its_status(change: tuple[str, str], status: bytes) -> None:
+def test_an_invalid_handshake_gets_its_http_status(change: tuple[str, str], status: bytes) -> None:
     server = ws.WebSocket()
     with pytest.raises(CloseConnectionError) as over:
         feed(server, ws.WebSocket("h").handshake_data().decode().replace(*change).encode())
@@ -179,7 +179,7 @@
     assert not server.opened
 
 
-def test_the_accept_key_is_that_of_the_rfc_and_a_wrong_one_is_not_taken() -> None:
+def test_the_accept_key_matches_the_rfc_and_a_wrong_one_is_rejected() -> None:
     assert ws.accept_key("dGhlIHNhbXBsZSBub25jZQ==") == "s3pPLMBiTxaQ9kYGzzhZRbK+xOo="
     client, server = ws.WebSocket("h"), ws.WebSocket()
     _, [answer] = feed(server, ws.WebSocket("h").handshake_data())
@@ -188,7 +188,7 @@
     assert not client.opened
 
 
-def test_a_full_front_says_so_after_the_handshake() -> None:
+def test_a_full_server_closes_with_try_again_later_after_the_handshake() -> None:
     client, server = ws.WebSocket("h"), ws.WebSocket(full=True)
     space = server.read_buffer()
     opening = client.handshake_data()
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""The whole path on loopback sockets, over both transports, on a clock that the test advances."""
+"""End to end over loopback sockets, with both transports, on a clock that the test advances."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def scenario(websocket: bool) -> tuple[list[tuple[Any, ...]], list[tuple[float, str, str, float]]]:
-    """A day in small: what the caller heard, and when each attempt went where with how much time."""
+    """Run one call per kind of outcome; returns the caller's messages and the attempts with their times."""
     stage = Stage(websocket)
     try:
         caller, servers = stage.caller(), stage.servers
@@ -46,17 +46,17 @@
         caller.set_up(A)  # answered
         answer(0, A)
         heard.append(outcome(caller.hear()))
-        caller.set_up(B)  # full at the first, answered by the second
+        caller.set_up(B)  # refused by the first server, answered by the second
         servers[0].hear()
         stage.links[0].say("release", B, cause=34, fields={"note": "acc"})
         answer(1, B)
         heard.append(outcome(caller.hear()))
-        caller.set_up(C, extras="dest:1")  # the number is busy
+        caller.set_up(C, extras="dest:1")  # number busy
         servers[1].hear()
         stage.links[1].say("release", C, cause=17, fields={"note": "sub"})
         heard.append(outcome(caller.hear()))
         stage.advance(100)
-        caller.set_up(D, extras="dest:1")  # reset on its way: not again within 200 ms
+        caller.set_up(D, extras="dest:1")  # reset: not sent again within 200 ms
         servers[1].hear()
         stage.links[1].say("release", D, cause=41)
         stage.until(lambda: stage.planner.calls.by_key[int(D, 16)].attempt is None)
@@ -65,12 +65,12 @@
         assert again[1] == D
         answer(int(again[2][1]), D)
         heard.append(outcome(caller.hear()))
-        caller.set_up(E, left_ms=700, extras="dest:1")  # never answered: one outcome before its caller leaves
+        caller.set_up(E, left_ms=700, extras="dest:1")  # never answered: one outcome before its deadline
         assert servers[1].hear()["id"] == E
         stage.advance(700)
         heard.append(outcome(caller.hear()))
         assert outcome(servers[1].hear())[:3] == ("release", E, 16)
-        stage.links[0].say("release", A, cause=16)  # a call that stood comes to its end
+        stage.links[0].say("release", A, cause=16)  # an established call ends at the server
         heard.append(outcome(caller.hear()))
         caller.say("release", B, cause=16)  # and one is ended by its caller
         assert outcome(servers[1].hear())[:3] == ("release", B, 16)
@@ -117,7 +117,7 @@
 def test_each_cause_of_a_server_reaches_the_caller_as_documented(
     stage: Stage, cause: int, note: str, expected: int
 ) -> None:
-    """Every server gives the same answer to every attempt until the call is given up."""
+    """Every server answers every attempt alike until the call fails."""
     caller = stage.caller()
     caller.set_up(A, left_ms=2000)
     seen = 0
@@ -130,7 +130,7 @@
                 pass
             stage.links[server].say("release", A, cause=cause, fields={"note": note})
             n = seen
-            # Over, held, sent again, or waiting until a second copy of this end can no longer be on its way.
+            # Ended, held, sent again, or waiting until no second copy of this release can arrive.
             stage.until(
                 lambda n=n: (
                     (call := stage.planner.calls.by_key.get(int(A, 16))) is None  # type: ignore[misc]
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("state", ["out", "held", "refused", "stands", "ended"])
-def test_a_caller_whose_websocket_closed_comes_back_for_its_one_outcome(state: str) -> None:
+def test_a_caller_whose_websocket_closed_reconnects_for_its_one_outcome(state: str) -> None:
     stage = Stage(True)
     try:
         caller = stage.caller()
@@ -185,20 +185,20 @@
             assert (kind, cause) == ("release", 16)
         else:
             assert (kind, sdp) == ("answer", "v=0")
-        assert len(stage.attempts) == sent, "an attempt for coming back"
+        assert len(stage.attempts) == sent, "reconnecting caused an attempt"
     finally:
         stage.end()
 
 
 @pytest.mark.parametrize("answered", [True, False])
-def test_a_call_whose_caller_never_comes_back_is_ended_once_and_released(answered: bool) -> None:
+def test_a_call_whose_caller_never_reconnects_is_released_once(answered: bool) -> None:
     stage = Stage(True)
     try:
         caller = stage.caller()
         caller.set_up(A, left_ms=1000)
         assert stage.servers[0].hear()["id"] == A
         caller.leave()
-        # An answer written before the proxy has seen the close counts as told: nobody can know better.
+        # An answer written before the proxy has seen the close counts as delivered.
         stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].caller is None)
         if answered:
             stage.links[0].say("answer", A, sdp="v=0")
@@ -211,7 +211,7 @@
         stage.end()
 
 
-def test_a_server_whose_connection_breaks_resets_what_was_out_there(stage: Stage) -> None:
+def test_a_broken_server_connection_resets_its_outstanding_attempts(stage: Stage) -> None:
     caller = stage.caller()
     caller.set_up(A)
     assert stage.servers[0].hear()["id"] == A
@@ -227,7 +227,7 @@
     assert outcome(caller.hear())[0] == "answer"
 
 
-SPOILT = [
+INVALID_ANSWERS = [
     b"\xff\xfe",
     b"{",
     b'{"type":"ans',
@@ -241,11 +241,11 @@
 ]
 
 
-@pytest.mark.parametrize("answer", SPOILT, ids=range(len(SPOILT)))
-def test_a_spoilt_answer_costs_its_connection_and_each_call_on_it_gets_its_end(
+@pytest.mark.parametrize("answer", INVALID_ANSWERS, ids=range(len(INVALID_ANSWERS)))
+def test_an_invalid_answer_drops_its_connection_and_resets_each_call_on_it(
     stage: Stage, answer: bytes
 ) -> None:
-    """What the server sent is of no more use; nothing is sent again within 200 ms, then both calls stand."""
+    """The connection is dropped; nothing is sent again within 200 ms, then both calls are answered."""
     caller = stage.caller()
     for call in (A, B):
         caller.set_up(call)
@@ -268,14 +268,14 @@
         assert outcome(caller.hear())[:2] == ("answer", call)
 
 
-def test_a_second_copy_and_an_unknown_id_change_nothing(stage: Stage) -> None:
+def test_duplicate_answers_and_unknown_ids_are_ignored(stage: Stage) -> None:
     caller = stage.caller()
-    stage.links[0].say("answer", C, sdp="v=1")  # of a call that nobody has asked for yet
+    stage.links[0].say("answer", C, sdp="v=1")  # for a call that has not been set up yet
     caller.set_up(A)
     assert stage.servers[0].hear()["id"] == A
     for _ in range(3):
         stage.links[0].say("answer", A, sdp="v=0")
-    stage.links[1].say("answer", A, sdp="v=2")  # and one from a server that was never asked
+    stage.links[1].say("answer", A, sdp="v=2")  # and one from a server without an attempt
     assert outcome(caller.hear())[:2] == ("answer", A)
     assert outcome(stage.servers[1].hear())[:3] == ("release", A, 16)
     caller.say("ping", B, cause=0)
@@ -287,7 +287,7 @@
     assert stage.servers[0].got.empty()
 
 
-def test_the_id_of_an_open_call_is_not_taken_over_by_another_description(stage: Stage) -> None:
+def test_an_open_call_rejects_a_set_up_with_its_id_and_another_description(stage: Stage) -> None:
     caller, other = stage.caller(), stage.caller()
     caller.set_up(A)
     assert stage.servers[0].hear()["id"] == A
@@ -299,7 +299,7 @@
     assert len(stage.attempts) == 1
 
 
-def test_a_call_may_be_ended_on_any_connection_and_costs_that_one_nothing(stage: Stage) -> None:
+def test_a_call_may_be_released_on_any_connection_without_using_its_credit(stage: Stage) -> None:
     caller, other = stage.caller(), stage.caller()
     for number in range(0x100, 0x100 + 40):
         call = f"{number:016x}"
@@ -315,7 +315,7 @@
     assert not any(session._stands for session in sessions)
 
 
-def test_a_caller_that_is_hung_up_on_gets_the_outcomes_it_is_owed(stage: Stage) -> None:
+def test_a_caller_that_is_disconnected_gets_its_outstanding_outcomes(stage: Stage) -> None:
     caller = stage.caller()
     for call in (A, B):
         caller.set_up(call)
@@ -329,10 +329,10 @@
     assert given_up == {("release", A, 16), ("release", B, 16)}
 
 
-def test_a_call_at_a_server_whose_process_died_is_cut_at_once_and_not_when_a_pause_is_over(
+def test_a_call_at_a_server_whose_process_died_is_ended_at_once_and_not_after_a_backoff(
     stage: Stage,
 ) -> None:
-    """The clock stands still: another server may listen at the address by the time that a pause is over."""
+    """The clock does not advance: by the end of a backoff, another server may listen at the address."""
     caller = stage.caller()
     caller.set_up(A)
     assert stage.servers[0].hear()["id"] == A
@@ -344,7 +344,7 @@
     assert outcome(caller.hear())[:3] == ("release", A, 41)
 
 
-def test_a_new_server_at_an_old_address_gets_none_of_the_calls_of_the_one_before(stage: Stage) -> None:
+def test_a_new_server_at_an_old_address_gets_none_of_the_calls_of_its_predecessor(stage: Stage) -> None:
     caller = stage.caller()
     for call in (A, B):
         caller.set_up(call)
@@ -370,15 +370,17 @@
     stage: Stage,
     told: str,
 ) -> None:
-    """The newcomer is up before a look at the address finds nobody there and before the list says so: the
-    end is told on the connection opened next, or never; either way its caller hears of it, and once."""
+    """A new server listens at the address before a connect fails and before the list shows the change.
+
+    The end of the call arrives on the next connection, or never; its caller is told exactly once.
+    """
     caller = stage.caller()
     caller.set_up(A)
     assert stage.servers[0].hear()["id"] == A
     stage.links[0].say("answer", A, sdp="v=0")
     assert outcome(caller.hear())[:2] == ("answer", A)
     stage.links[0].leave()
-    stage.links[0] = stage.again(0)  # the address never stopped taking connections
+    stage.links[0] = stage.again(0)  # the address never stopped accepting connections
     stage.until(lambda: stage.planner._known["s0"].epoch is not None)
     if told == "on the next connection":
         stage.links[0].say("release", A, cause=16)
@@ -390,22 +392,22 @@
     if told == "by the list alone":
         assert outcome(caller.hear())[:3] == ("release", A, 41)
     stage.links[0] = stage.again(0, "new")
-    stage.links[0].say("release", A, cause=16)  # told once more: nobody hears of it twice
+    stage.links[0].say("release", A, cause=16)  # repeated: the caller must not be told twice
     stage.until(lambda: stage.planner._known["new"].epoch is not None)
     stage.settle()
     caller.say("ping", B, cause=0)
     assert caller.hear()["type"] == "pong"
 
 
-def one_link(server: BookingServer, clock: ManualClock) -> tuple[Link, Peer, Callable[[], None]]:
-    """A link that is up, the server's end of it, and what waits until the link is up once more."""
+def established_link(server: BookingServer, clock: ManualClock) -> tuple[Link, Peer, Callable[[], None]]:
+    """An established link, the server's end of it, and a function that waits until it is up again."""
     told = queue.SimpleQueue[m.Event]()
     poller = Poller(clock, "links")
     start_thread(poller.run, poller.name)
     link = Link("s", server.endpoint, clock, 500.0, told.put, poller)
 
     def up() -> None:
-        while not isinstance(told.get(timeout=PATIENCE_S), m.LinkUp):  # said by the links' thread
+        while not isinstance(told.get(timeout=PATIENCE_S), m.LinkUp):  # emitted by the links' thread
             pass
 
     peer = server.peer()
@@ -413,8 +415,8 @@
     return link, peer, up
 
 
-def fall_silent(link: Link) -> None:
-    """As when the pulse was missed; to its end where no connection comes up in place of this one."""
+def miss_heartbeat(link: Link) -> None:
+    """Simulate a missed heartbeat, on the poller's thread."""
     done = threading.Event()
 
     def late() -> None:
@@ -425,40 +427,42 @@
     assert done.wait(PATIENCE_S)
 
 
-def test_a_link_that_misses_its_servers_pulse_is_replaced_unless_the_server_takes_no_more() -> None:
+def test_a_connection_that_misses_heartbeats_is_replaced_unless_the_server_refuses_connections() -> None:
     clock, server = ManualClock(), BookingServer(False)
-    link, first, up = one_link(server, clock)
+    link, first, up = established_link(server, clock)
     state = b'{"type":"state","id":"0000000000000000","fields":{"load":"spare:1;total:2"}}'
-    for gap in (0.0, 130.0, 500.0, 510.0, 490.0):  # the first comes with the opening, out of step
-        assert link._read_deadline(math.inf) == math.inf, "no pulse is known yet"
+    for gap in (0.0, 130.0, 500.0, 510.0, 490.0):  # the first report is sent on opening, out of step
+        assert link._read_deadline(math.inf) == math.inf, "no heartbeat is known yet"
         clock.advance(gap)
         link._message(state, link._epoch)
-    assert PARTIAL_MESSAGE_TIMEOUT_MS < 200.0, "what was called off meanwhile is sent again after its end"
+    assert PARTIAL_MESSAGE_TIMEOUT_MS < 200.0, (
+        "a cancelled call is sent again only after the connection has ended"
+    )
     assert link._read_deadline(math.inf) == clock.now_ms() + 1.4 * 510.0 + 50.0
     clock.advance(300.0)
     link._message(b'{"type":"released","id":"00000000000000a0"}', link._epoch)
     assert link._read_deadline(math.inf) == clock.now_ms() + 764.0, (
-        "whatever comes shows that the connection lives"
+        "any message shows that the connection is alive"
     )
     assert link._read_deadline(clock.now_ms()) == clock.now_ms() + PARTIAL_MESSAGE_TIMEOUT_MS, (
-        "half a message"
+        "an incomplete message"
     )
     clock.advance(800.0)
-    fall_silent(link)
+    miss_heartbeat(link)
     spare = server.peer()
     up()
     assert first.closed.wait(PATIENCE_S)
     assert link._read_deadline(math.inf) == link._last_received_ms + 764.0, (
-        "the new connection is held to it from its start"
+        "the heartbeat applies to the new connection from its start"
     )
     server.listener.shutdown(socket.SHUT_RDWR)
     server.listener.close()
-    fall_silent(link)
+    miss_heartbeat(link)
     until(lambda: not link._replacing)
-    assert not spare.closed.is_set(), "it drains: the old connection is kept"
+    assert not spare.closed.is_set(), "the server drains: the old connection is kept"
     assert link._read_deadline(math.inf) == math.inf
     for gap in (100.0, 900.0, 200.0, 200.0, 200.0):
-        assert link._read_deadline(math.inf) == math.inf, "uneven: its silence tells nothing"
+        assert link._read_deadline(math.inf) == math.inf, "irregular gaps are no heartbeat"
         clock.advance(gap)
         link._message(state, link._epoch)
     assert link._read_deadline(math.inf) < math.inf
@@ -466,29 +470,29 @@
     assert spare.closed.wait(PATIENCE_S)
 
 
-def test_a_server_without_a_pulse_is_not_replaced_for_ever() -> None:
+def test_connections_are_not_replaced_for_ever_where_the_heartbeat_has_stopped() -> None:
     clock, server = ManualClock(), BookingServer(False)
-    link, _, up = one_link(server, clock)
+    link, _, up = established_link(server, clock)
     link._heartbeat_gap_ms = 500.0
     for _ in range(MAX_HEARTBEAT_TIMEOUTS):
         assert link._read_deadline(math.inf) < math.inf
-        fall_silent(link)
+        miss_heartbeat(link)
         up()
     assert link._read_deadline(math.inf) == math.inf
     link.end()
 
 
-def test_a_server_that_speaks_while_another_connection_is_made_keeps_its_own() -> None:
+def test_a_message_during_the_replacement_keeps_the_old_connection() -> None:
     clock, server = ManualClock(), BookingServer(False)
-    link, first, _ = one_link(server, clock)
+    link, first, _ = established_link(server, clock)
     link._heartbeat_gap_ms = 500.0
 
-    def late_and_then_heard() -> None:  # all before the new connection can be seen to be up
+    def time_out_then_receive() -> None:  # before the new connection can be seen as established
         link._on_timeout()
         clock.advance(5.0)
         link._message(b'{"type":"released","id":"00000000000000a0"}', link._epoch)
 
-    link._poller.call_soon(late_and_then_heard)
+    link._poller.call_soon(time_out_then_receive)
     unused = server.peer()
     assert unused.closed.wait(PATIENCE_S)
     assert not first.closed.is_set()
@@ -496,7 +500,7 @@
     assert first.closed.wait(PATIENCE_S)
 
 
-def test_the_end_of_a_call_is_heard_on_a_connection_that_was_replaced() -> None:
+def test_a_release_is_received_on_a_replaced_connection() -> None:
     clock, told = ManualClock(), queue.SimpleQueue[m.Event]()
     poller = Poller(clock, "links")
     start_thread(poller.run, poller.name)
@@ -505,11 +509,11 @@
         link = Link("s", endpoint, clock, 500.0, told.put, poller)
         old, _ = server.accept()
         assert isinstance(told.get(timeout=PATIENCE_S), m.LinkUp)
-        fall_silent(link)
+        miss_heartbeat(link)
         new, _ = server.accept()
         assert isinstance(told.get(timeout=PATIENCE_S), m.LinkDown)
         assert isinstance(told.get(timeout=PATIENCE_S), m.LinkUp)
-        assert old.recv(1) == b"", "the server sees that nothing more comes"
+        assert old.recv(1) == b"", "the server sees the end of the stream"
         old.sendall(b'{"type":"release","id":"%s","fields":{},"cause":16}\n' % A.encode())
         event = told.get(timeout=PATIENCE_S)
         assert isinstance(event, m.ServerReleased) and event.id == A and event.on_replaced_connection
@@ -520,8 +524,8 @@
         new.close()
 
 
-def test_a_slow_reader_delays_nobody_else(stage: Stage) -> None:
-    """One caller stops reading until its outbox is over; another's calls go through meanwhile."""
+def test_a_slow_reader_does_not_delay_other_callers(stage: Stage) -> None:
+    """One caller stops reading until its write queue overflows; another's calls succeed meanwhile."""
     slow, fast = stage.caller(), stage.caller()
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.awake.clear()
@@ -540,7 +544,7 @@
             assert outcome(fast.hear())[:2] == ("answer", call)
 
 
-def test_a_websocket_front_that_is_full_says_so() -> None:
+def test_a_full_websocket_listener_rejects_callers() -> None:
     stage = Stage(True, limits={"sockets": 6})
     try:
         first = stage.caller()
@@ -554,8 +558,8 @@
         stage.end()
 
 
-def test_a_stop_waits_for_what_is_owed_and_stands_but_not_for_ends_unheard(stage: Stage) -> None:
-    """Guards a restart against lost outcomes, and against waiting for callers that can't come any more."""
+def test_a_stop_waits_for_outcomes_and_established_calls_but_not_for_undelivered_ends(stage: Stage) -> None:
+    """A restart loses no outcomes, and does not wait for callers that can no longer come back."""
     caller = stage.caller()
     for call in (A, B):
         caller.set_up(call)
@@ -577,8 +581,8 @@
     assert stage.planner.calls.unheard
 
 
-def test_planners_take_slots_of_their_own_and_each_call_has_one_planner() -> None:
-    """Guards the shares that the module reckons with: no two planners of a fleet in one slot."""
+def test_planners_have_distinct_slots_and_each_call_has_one_planner() -> None:
+    """No two planners of a fleet share a slot; the decision module computes its shares from the slots."""
     fleet = [
         planner_settings(settings(gateway_no=number, gateway_count=2), planner, 3)
         for number in range(2)
@@ -596,8 +600,8 @@
         stage.end()
 
 
-def test_a_server_that_moves_keeps_its_calls_apart_from_its_old_link(stage: Stage) -> None:
-    """Guards the new connection from being taken for broken when the old one's end is told after it."""
+def test_a_server_that_changes_address_is_not_affected_by_its_old_link(stage: Stage) -> None:
+    """The end of the old connection, reported late, must not be taken for the new one's."""
     caller, moved = stage.caller(), BookingServer(stage.websocket)
     old = stage.planner._known["s0"].epoch
     listed = ListedServer("s0", 0, ServerStatus.ACTIVE)
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -1,4 +1,4 @@
-"""Requests that arrive in pieces, on real sockets at a process of the program: each gets its one outcome."""
+"""Set-ups that arrive in small pieces at a running process, over real sockets, get one outcome each."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 from tests.peers import PATIENCE_S, BookingServer, Peer
 from tests.test_reload import Program, table
 
-CONNECTIONS, CALLS = 8, 6  # calls on each connection
-LONGEST_PIECE = 9  # bytes
+CONNECTIONS = 8
+CALLS = 6  # per connection
+MAX_PIECE_BYTES = 9
 
 
 def set_up_line(call: str) -> bytes:
@@ -24,10 +25,10 @@
     return json.dumps(message, ensure_ascii=False).encode() + b"\n"
 
 
-def pieces(data: bytes, chance: random.Random) -> list[bytes]:
+def pieces(data: bytes, rng: random.Random) -> list[bytes]:
     found = []
     while data:
-        size = chance.randint(1, LONGEST_PIECE)
+        size = rng.randint(1, MAX_PIECE_BYTES)
         found.append(data[:size])
         data = data[size:]
     return found
@@ -39,7 +40,7 @@
             link.say("answer", got["id"], sdp=got["sdp"])
 
 
-def test_set_ups_cut_at_any_byte_get_one_answer_each(tmp_path: Path) -> None:
+def test_set_ups_split_at_any_byte_get_one_answer_each(tmp_path: Path) -> None:
     server = BookingServer(False)
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = f"127.0.0.1:{free.getsockname()[1]}"
@@ -47,7 +48,7 @@
     known = {"rev": 1, "notices": [{"rev": 1, "pool": {"rev": 1, "all": True, "targets": [target]}}]}
     path = tmp_path / "config.json"
     path.write_text(json.dumps(table("") | {"listen": listen, "known": known}))
-    program, chance = Program(path), random.Random(3)
+    program, rng = Program(path), random.Random(3)
     try:
         program.says("serves on")
         threading.Thread(target=answer_all, args=(server, server.peer()), daemon=True).start()
@@ -59,8 +60,8 @@
         for number, caller in enumerate(callers):
             caller.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             calls = [f"{number * CALLS + n + 1:016x}" for n in range(CALLS)]
-            waiting.append((caller, calls, pieces(b"".join(map(set_up_line, calls)), chance)))
-        while any(left for _, _, left in waiting):  # a piece of each in turn
+            waiting.append((caller, calls, pieces(b"".join(map(set_up_line, calls)), rng)))
+        while any(left for _, _, left in waiting):  # one piece per connection in turn
             for caller, _, left in waiting:
                 if left:
                     caller.sock.sendall(left.pop(0))
