--- a/tests/peers.py
+++ b/tests/peers.py
@@ -36,10 +36,12 @@
 class Peer:
     """One end of a connection that keeps the messages it receives."""
 
-    def __init__(self, sock: socket.socket, framing: Framing, got: queue.SimpleQueue[dict[str, Any]]) -> None:
-        self.sock, self.got = sock, got
-        self.closed, self.opened, self.awake = threading.Event(), threading.Event(), threading.Event()
-        self.awake.set()
+    def __init__(
+        self, sock: socket.socket, framing: Framing, received: queue.SimpleQueue[dict[str, Any]]
+    ) -> None:
+        self.sock, self.received = sock, received
+        self.closed, self.opened, self.may_read = threading.Event(), threading.Event(), threading.Event()
+        self.may_read.set()
         self.connection = Connection(
             sock,
             framing,
@@ -58,20 +60,20 @@
         self.opened.set()  # a full listener may close before the connection has opened
 
     def _message(self, line: bytes) -> None:
-        self.got.put(json.loads(line))
-        self.awake.wait(PATIENCE_S)
+        self.received.put(json.loads(line))
+        self.may_read.wait(PATIENCE_S)
 
-    def say(self, kind: str, call_id: str, **more: Any) -> None:
+    def send(self, kind: str, call_id: str, **more: Any) -> None:
         assert self.connection.send(json.dumps({"type": kind, "id": call_id, "fields": {}} | more).encode())
 
-    def hear(self) -> dict[str, Any]:
-        return self.got.get(timeout=PATIENCE_S)
+    def receive(self) -> dict[str, Any]:
+        return self.received.get(timeout=PATIENCE_S)
 
     def set_up(self, call_id: str, left_ms: int = 9000, **fields: Any) -> None:
         fields = {"class": "slot-confirm", "left": str(left_ms), "key": "k", "extras": "dest:0"} | fields
-        self.say("setup", call_id, fields=fields, sdp=f"sdp of {call_id}\r\n")
+        self.send("setup", call_id, fields=fields, sdp=f"sdp of {call_id}\r\n")
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Shut down the connection without a message."""
         self.sock.shutdown(socket.SHUT_RDWR)
         assert self.closed.wait(PATIENCE_S)
@@ -82,7 +84,7 @@
 
     def __init__(self, websocket: bool) -> None:
         self.websocket = websocket
-        self.got: queue.SimpleQueue[dict[str, Any]] = queue.SimpleQueue()
+        self.received: queue.SimpleQueue[dict[str, Any]] = queue.SimpleQueue()
         self.peers: queue.SimpleQueue[Peer] = queue.SimpleQueue()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.endpoint = f"{'ws://' if websocket else ''}127.0.0.1:{self.listener.getsockname()[1]}"
@@ -94,16 +96,16 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            self.peers.put(Peer(sock, WebSocket() if self.websocket else Lines(), self.got))
+            self.peers.put(Peer(sock, WebSocket() if self.websocket else Lines(), self.received))
 
     def peer(self) -> Peer:
         return self.peers.get(timeout=PATIENCE_S)
 
-    def hear(self) -> dict[str, Any]:
-        return self.got.get(timeout=PATIENCE_S)
+    def receive(self) -> dict[str, Any]:
+        return self.received.get(timeout=PATIENCE_S)
 
 
-class Stage:
+class NodeHarness:
     """A node with both listeners, and booking servers, on a clock that the test advances."""
 
     def __init__(self, websocket: bool, servers: int = 2, **changes: Any) -> None:
@@ -138,7 +140,7 @@
         self.until(lambda: all(known.epoch is not None for known in self.planner._known.values()))
         self._epochs = {known.id: known.epoch for known in self.planner._known.values()}
 
-    def again(self, number: int, name: str = "") -> Peer:
+    def reconnect(self, number: int, name: str = "") -> Peer:
         """Reconnect to that server without backoff, and wait until the planner has seen the connection."""
         name = name or f"s{number}"
         self.settle()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 from capershelf.core.planner import LATE_ANSWER_MS, LOST_AFTER_MS, Planner
 from capershelf.net.connection import Connection
 from capershelf.net.framing import Lines
-from tests.peers import PATIENCE_S, Peer, Stage, until
+from tests.peers import PATIENCE_S, NodeHarness, Peer, until
 from tests.rig import listed, settings
 from tests.test_planner_states import FakeCaller, FakeServers
 from tests.test_stopping import (
@@ -175,14 +175,14 @@
 
 
 @pytest.fixture(params=[False, True], ids=["closes", "gives up"])
-def leaves(request: pytest.FixtureRequest) -> Callable[[Peer, Stage], None]:
+def leaves(request: pytest.FixtureRequest) -> Callable[[Peer, NodeHarness], None]:
     """How a caller leaves; returns once its session has read that, while the planner stands still."""
     gives_up: bool = request.param
 
-    def leave(caller: Peer, stage: Stage) -> None:
-        (session,) = stage.node.fronts[0]._sessions
+    def leave(caller: Peer, harness: NodeHarness) -> None:
+        (session,) = harness.node.fronts[0]._sessions
         if gives_up:
-            caller.say("release", A, cause=16)
+            caller.send("release", A, cause=16)
         else:
             caller.sock.shutdown(socket.SHUT_RDWR)
         until(lambda: not session.is_waiting(A))
@@ -206,13 +206,13 @@
         self._on.set()
 
 
-def setups(stage: Stage) -> list[str]:
+def setups(harness: NodeHarness) -> list[str]:
     """Set-ups that booking servers have been sent, once they have read all that was written."""
-    stage.settle()
+    harness.settle()
     found = []
-    for number, server in enumerate(stage.servers):
-        stage.planner.servers.probe(f"s{number}", stage.planner._known[f"s{number}"].epoch or 0, "f" * 16)
-        while (got := server.hear())["id"] != "f" * 16:
+    for number, server in enumerate(harness.servers):
+        harness.planner.servers.probe(f"s{number}", harness.planner._known[f"s{number}"].epoch or 0, "f" * 16)
+        while (got := server.receive())["id"] != "f" * 16:
             if got["type"] == "setup":
                 found.append(got["id"])
     return found
@@ -220,19 +220,19 @@
 
 @pytest.mark.parametrize("where", ["inbox", "room", "release"])
 def test_no_attempt_begins_once_the_caller_has_left(
-    where: str, leaves: Callable[[Peer, Stage], None]
+    where: str, leaves: Callable[[Peer, NodeHarness], None]
 ) -> None:
     """The leaving is read by the session and lies behind a planner that is busy with something else."""
-    stage = Stage(False)
+    harness = NodeHarness(False)
     try:
-        caller = stage.caller()
+        caller = harness.caller()
         if where == "inbox":  # its set-up waits for the planner
-            held = Held(stage.planner)
+            held = Held(harness.planner)
             caller.set_up(A)
-            until(lambda: stage.node.houses[0].owed == 1)
+            until(lambda: harness.node.houses[0].owed == 1)
         elif where == "room":  # both servers drain: it is held
-            for server in stage.planner._known.values():
-                stage.planner.tell(
+            for server in harness.planner._known.values():
+                harness.planner.tell(
                     m.ServerListUpdate(
                         9,
                         False,
@@ -244,101 +244,102 @@
                         ),
                     )
                 )
-            stage.settle()
+            harness.settle()
             caller.set_up(A)
-            stage.until(lambda: bool(stage.planner._controller.held))
-            held = Held(stage.planner)
+            harness.until(lambda: bool(harness.planner._controller.held))
+            held = Held(harness.planner)
         else:  # it was reset, and waits for its release
             caller.set_up(A)
-            assert stage.servers[0].hear()["type"] == "setup"
-            stage.links[0].say("release", A, cause=41)
-            stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].attempt is None)
-            held = Held(stage.planner)
-        leaves(caller, stage)
+            assert harness.servers[0].receive()["type"] == "setup"
+            harness.links[0].send("release", A, cause=41)
+            harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].attempt is None)
+            held = Held(harness.planner)
+        leaves(caller, harness)
         if where == "room":  # just now there is room again: the news goes before what is in the inbox
             for number in range(2):
-                server = stage.planner._known[f"s{number}"]
-                stage.planner.tell(
+                server = harness.planner._known[f"s{number}"]
+                harness.planner.tell(
                     m.ServerListUpdate(
                         10 + number, False, (m.LocatedServer(listed(server.id, number), server.endpoint),)
                     )
                 )
         elif where == "release":
-            stage.clock.advance(RELEASE_MS + 30.0)
+            harness.clock.advance(RELEASE_MS + 30.0)
         held.let_go_on()
-        stage.advance(500)
+        harness.advance(500)
         if where == "room":  # they had rested
-            assert not stage.attempts
+            assert not harness.attempts
         else:
-            assert setups(stage) == []
-        assert int(A, 16) not in stage.planner.calls.by_key and stage.planner.calls.open_count == 0
+            assert setups(harness) == []
+        assert int(A, 16) not in harness.planner.calls.by_key and harness.planner.calls.open_count == 0
     finally:
-        stage.end()
+        harness.end()
 
 
 def test_no_attempt_begins_where_the_caller_left_while_its_connection_was_made(
-    leaves: Callable[[Peer, Stage], None],
+    leaves: Callable[[Peer, NodeHarness], None],
 ) -> None:
-    stage = Stage(False)
+    harness = NodeHarness(False)
     try:
-        for link in stage.links:
-            link.leave()
-        stage.until(lambda: all(known.epoch is None for known in stage.planner._known.values()))
-        links = stage.planner.servers
+        for link in harness.links:
+            link.disconnect()
+        harness.until(lambda: all(known.epoch is None for known in harness.planner._known.values()))
+        links = harness.planner.servers
         wake, links.connect = links.connect, lambda server: ""  # type: ignore[method-assign]
-        caller = stage.caller()
+        caller = harness.caller()
         caller.set_up(A)
-        stage.until(
+        harness.until(
             lambda: (
-                (call := stage.planner.calls.by_key.get(int(A, 16))) is not None and call.attempt is not None
+                (call := harness.planner.calls.by_key.get(int(A, 16))) is not None
+                and call.attempt is not None
             )
         )
-        held = Held(stage.planner)
-        leaves(caller, stage)
+        held = Held(harness.planner)
+        leaves(caller, harness)
         links.connect = wake  # type: ignore[method-assign]
         for number in range(2):  # they come up, which lies behind the leaving in the planner's inbox
             links.connect(f"s{number}")
-            stage.servers[number].peer()
+            harness.servers[number].peer()
         held.let_go_on()
-        stage.until(lambda: all(known.epoch is not None for known in stage.planner._known.values()))
-        assert setups(stage) == [] and not stage.attempts
-        assert int(A, 16) not in stage.planner.calls.by_key
+        harness.until(lambda: all(known.epoch is not None for known in harness.planner._known.values()))
+        assert setups(harness) == [] and not harness.attempts
+        assert int(A, 16) not in harness.planner.calls.by_key
     finally:
-        stage.end()
+        harness.end()
 
 
 def test_a_call_that_stands_outlives_its_callers_connection() -> None:
-    stage = Stage(False)
+    harness = NodeHarness(False)
     try:
-        caller = stage.caller()
+        caller = harness.caller()
         caller.set_up(A)
-        assert stage.servers[0].hear()["type"] == "setup"
-        stage.links[0].say("answer", A, sdp="v=0")
-        assert caller.hear()["type"] == "answer"
-        caller.leave()
-        stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].lost_caller_host != "")
-        other = stage.caller()
-        other.say("release", A, cause=16)
-        assert stage.servers[0].hear()["type"] == "release"
+        assert harness.servers[0].receive()["type"] == "setup"
+        harness.links[0].send("answer", A, sdp="v=0")
+        assert caller.receive()["type"] == "answer"
+        caller.disconnect()
+        harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].lost_caller_host != "")
+        other = harness.caller()
+        other.send("release", A, cause=16)
+        assert harness.servers[0].receive()["type"] == "release"
     finally:
-        stage.end()
+        harness.end()
 
 
 def test_a_call_may_be_given_up_on_another_connection_before_the_planner_hears_of_it() -> None:
-    stage = Stage(False)
+    harness = NodeHarness(False)
     try:
-        caller, other = stage.caller(), stage.caller()
-        held = Held(stage.planner)
+        caller, other = harness.caller(), harness.caller()
+        held = Held(harness.planner)
         caller.set_up(A)
-        until(lambda: stage.node.houses[0].owed == 1)
-        (asker,) = [s for s in stage.node.fronts[0]._sessions if s._open]
-        other.say("release", A, cause=16)
+        until(lambda: harness.node.houses[0].owed == 1)
+        (asker,) = [s for s in harness.node.fronts[0]._sessions if s._open]
+        other.send("release", A, cause=16)
         until(lambda: not asker.is_waiting(A))
         held.let_go_on()
-        stage.settle()
-        assert setups(stage) == []
+        harness.settle()
+        assert setups(harness) == []
     finally:
-        stage.end()
+        harness.end()
 
 
 def test_an_answer_to_a_set_up_that_is_still_in_the_outbox_is_not_its_answer() -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -76,7 +76,7 @@
     address = ("127.0.0.1", listener.port)
     working = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
     fields = {"class": "usual", "left": "5000"}
-    working.say("setup", "00000000000000a1", fields=fields, sdp="v=0")
+    working.send("setup", "00000000000000a1", fields=fields, sdp="v=0")
     until(lambda: listener._house.owed == 1)
     idle = []
     for number in range(6 * MOST):
@@ -92,7 +92,7 @@
         idle.append(sock)
     assert max(held) <= MOST, "let in before a place was free"
     late = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
-    late.say("setup", "00000000000000a2", fields=fields, sdp="v=0")
+    late.send("setup", "00000000000000a2", fields=fields, sdp="v=0")
     until(lambda: listener._house.owed == 2)
     assert not working.closed.is_set()
     for sock in idle:
@@ -112,7 +112,7 @@
     for session in oldest:
         session.connection._processing = True
     late = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
-    late.say("setup", "00000000000000a2", fields={"class": "usual", "left": "5000"}, sdp="v=0")
+    late.send("setup", "00000000000000a2", fields={"class": "usual", "left": "5000"}, sdp="v=0")
     until(lambda: listener._house.owed == 1 or late.closed.is_set())
     assert not late.closed.is_set() and listener._house.owed == 1
     assert all(session in listener._sessions for session in oldest)
@@ -149,10 +149,10 @@
         def call(caller: Peer, number: int) -> None:
             kind = config["settings"]["categories"][0]["name"]
             fields = {"class": kind, "left": "9000", "key": f"k{number}", "extras": "dest:0"}
-            caller.say("setup", f"{number:016x}", fields=fields, sdp="sdp")
-            assert server.hear()["type"] == "setup"
-            link.say("answer", f"{number:016x}", sdp="v=0")
-            assert caller.hear()["type"] == "answer"
+            caller.send("setup", f"{number:016x}", fields=fields, sdp="sdp")
+            assert server.receive()["type"] == "setup"
+            link.send("answer", f"{number:016x}", sdp="v=0")
+            assert caller.receive()["type"] == "answer"
 
         call(worker, 1)
         for number in range(3 * limit):
@@ -164,14 +164,14 @@
         call(Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue()), 3)
         board = BoardStandIn(board_port)
         assert board.poll() == "3"
-        link.leave()
+        link.disconnect()
         link = server.peer()  # and a link is made anew
         call(worker, 4)
         assert max(most, descriptors()) < limit
         assert program.process.poll() is None
         program.process.send_signal(signal.SIGTERM)
         for number in (1, 2, 3, 4):  # a call may be ended on any connection
-            worker.say("release", f"{number:016x}", cause=16)
+            worker.send("release", f"{number:016x}", cause=16)
         assert program.process.wait(PATIENCE_S) == 0
     finally:
         program.process.kill()
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -108,11 +108,11 @@
 
         def call(number: int, place: int) -> str:
             fields = {"class": kind, "left": "5000", "key": f"k{number}", "extras": f"dest:{place}"}
-            caller.say("setup", f"{number:016x}", fields=fields, sdp=f"sdp {number}")
-            assert caller.hear()["type"] == "answer"
+            caller.send("setup", f"{number:016x}", fields=fields, sdp=f"sdp {number}")
+            assert caller.receive()["type"] == "answer"
             server, message = fleet.got.get(timeout=PATIENCE_S)
             assert (message["type"], message["id"]) == ("setup", f"{number:016x}")
-            caller.say("release", f"{number:016x}", cause=16)
+            caller.send("release", f"{number:016x}", cause=16)
             assert fleet.got.get(timeout=PATIENCE_S)[1]["type"] == "release"
             return f"s{server}"
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -19,7 +19,7 @@
 from capershelf.net.links import MAX_HEARTBEAT_TIMEOUTS, PARTIAL_MESSAGE_TIMEOUT_MS, REPLACED_READ_MS, Link
 from capershelf.net.poller import Poller
 from capershelf.node import planner_settings
-from tests.peers import PATIENCE_S, BookingServer, Peer, Stage, until
+from tests.peers import PATIENCE_S, BookingServer, NodeHarness, Peer, until
 from tests.rig import settings
 
 A, B, C, D, E, F, G = (f"{n:016x}" for n in range(0xA0, 0xA7))
@@ -31,52 +31,52 @@
 
 def scenario(websocket: bool) -> tuple[list[tuple[Any, ...]], list[tuple[float, str, str, float]]]:
     """Run one call per kind of outcome; returns the caller's messages and the attempts with their times."""
-    stage = Stage(websocket)
+    harness = NodeHarness(websocket)
     try:
-        caller, servers = stage.caller(), stage.servers
+        caller, servers = harness.caller(), harness.servers
         heard = []
 
         def answer(server: int, call: str) -> None:
-            got = servers[server].hear()
+            got = servers[server].receive()
             assert (got["type"], got["id"], got["sdp"]) == ("setup", call, f"sdp of {call}\r\n")
             assert got["fields"]["class"] == "slot-confirm"
             assert got["fields"]["key"] == "k"
-            stage.links[server].say("answer", call, sdp=f"v=0 {call}")
+            harness.links[server].send("answer", call, sdp=f"v=0 {call}")
 
         caller.set_up(A)  # answered
         answer(0, A)
-        heard.append(outcome(caller.hear()))
+        heard.append(outcome(caller.receive()))
         caller.set_up(B)  # refused by the first server, answered by the second
-        servers[0].hear()
-        stage.links[0].say("release", B, cause=34, fields={"note": "acc"})
+        servers[0].receive()
+        harness.links[0].send("release", B, cause=34, fields={"note": "acc"})
         answer(1, B)
-        heard.append(outcome(caller.hear()))
+        heard.append(outcome(caller.receive()))
         caller.set_up(C, extras="dest:1")  # number busy
-        servers[1].hear()
-        stage.links[1].say("release", C, cause=17, fields={"note": "sub"})
-        heard.append(outcome(caller.hear()))
-        stage.advance(100)
+        servers[1].receive()
+        harness.links[1].send("release", C, cause=17, fields={"note": "sub"})
+        heard.append(outcome(caller.receive()))
+        harness.advance(100)
         caller.set_up(D, extras="dest:1")  # reset: not sent again within 200 ms
-        servers[1].hear()
-        stage.links[1].say("release", D, cause=41)
-        stage.until(lambda: stage.planner.calls.by_key[int(D, 16)].attempt is None)
-        stage.advance(300)
-        again = stage.attempts[-1]
+        servers[1].receive()
+        harness.links[1].send("release", D, cause=41)
+        harness.until(lambda: harness.planner.calls.by_key[int(D, 16)].attempt is None)
+        harness.advance(300)
+        again = harness.attempts[-1]
         assert again[1] == D
         answer(int(again[2][1]), D)
-        heard.append(outcome(caller.hear()))
+        heard.append(outcome(caller.receive()))
         caller.set_up(E, left_ms=700, extras="dest:1")  # never answered: one outcome before its deadline
-        assert servers[1].hear()["id"] == E
-        stage.advance(700)
-        heard.append(outcome(caller.hear()))
-        assert outcome(servers[1].hear())[:3] == ("release", E, 16)
-        stage.links[0].say("release", A, cause=16)  # an established call ends at the server
-        heard.append(outcome(caller.hear()))
-        caller.say("release", B, cause=16)  # and one is ended by its caller
-        assert outcome(servers[1].hear())[:3] == ("release", B, 16)
-        return heard, stage.attempts
+        assert servers[1].receive()["id"] == E
+        harness.advance(700)
+        heard.append(outcome(caller.receive()))
+        assert outcome(servers[1].receive())[:3] == ("release", E, 16)
+        harness.links[0].send("release", A, cause=16)  # an established call ends at the server
+        heard.append(outcome(caller.receive()))
+        caller.send("release", B, cause=16)  # and one is ended by its caller
+        assert outcome(servers[1].receive())[:3] == ("release", B, 16)
+        return heard, harness.attempts
     finally:
-        stage.end()
+        harness.end()
 
 
 def test_both_transports_give_the_same_outcomes_and_attempt_timings() -> None:
@@ -97,8 +97,8 @@
 
 
 @pytest.fixture(params=[False, True], ids=["lines", "websocket"])
-def stage(request: pytest.FixtureRequest) -> Iterator[Stage]:
-    made = Stage(request.param)
+def harness(request: pytest.FixtureRequest) -> Iterator[NodeHarness]:
+    made = NodeHarness(request.param)
     yield made
     made.end()
 
@@ -115,69 +115,69 @@
     ],
 )
 def test_each_cause_of_a_server_reaches_the_caller_as_documented(
-    stage: Stage, cause: int, note: str, expected: int
+    harness: NodeHarness, cause: int, note: str, expected: int
 ) -> None:
     """Every server answers every attempt alike until the call fails."""
-    caller = stage.caller()
+    caller = harness.caller()
     caller.set_up(A, left_ms=2000)
     seen = 0
     for _ in range(20):
-        stage.settle()
-        while seen < len(stage.attempts):
-            server = int(stage.attempts[seen][2][1])
+        harness.settle()
+        while seen < len(harness.attempts):
+            server = int(harness.attempts[seen][2][1])
             seen += 1
-            while stage.servers[server].hear()["type"] != "setup":
+            while harness.servers[server].receive()["type"] != "setup":
                 pass
-            stage.links[server].say("release", A, cause=cause, fields={"note": note})
+            harness.links[server].send("release", A, cause=cause, fields={"note": note})
             n = seen
             # Ended, held, sent again, or waiting until no second copy of this release can arrive.
-            stage.until(
+            harness.until(
                 lambda n=n: (
-                    (call := stage.planner.calls.by_key.get(int(A, 16))) is None  # type: ignore[misc]
+                    (call := harness.planner.calls.by_key.get(int(A, 16))) is None  # type: ignore[misc]
                     or call.attempt is None
                     or call.attempt.epoch is None
-                    or len(stage.attempts) > n
+                    or len(harness.attempts) > n
                 )
             )
-        stage.advance(100)
-    assert outcome(caller.hear())[:3] == ("release", A, expected)
-    assert 1 <= len(stage.attempts) <= 6
-    assert caller.got.empty()
+        harness.advance(100)
+    assert outcome(caller.receive())[:3] == ("release", A, expected)
+    assert 1 <= len(harness.attempts) <= 6
+    assert caller.received.empty()
 
 
 @pytest.mark.parametrize("state", ["out", "held", "refused", "stands", "ended"])
 def test_a_caller_whose_websocket_closed_reconnects_for_its_one_outcome(state: str) -> None:
-    stage = Stage(True)
+    harness = NodeHarness(True)
     try:
-        caller = stage.caller()
+        caller = harness.caller()
         caller.set_up(A)
-        server, link = stage.servers[0], stage.links[0]
-        assert server.hear()["id"] == A
+        server, link = harness.servers[0], harness.links[0]
+        assert server.receive()["id"] == A
         if state == "held":
-            link.say("release", A, cause=41)
-            stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].attempt is None)
-        caller.leave()
-        stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].caller is None)
+            link.send("release", A, cause=41)
+            harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].attempt is None)
+        caller.disconnect()
+        harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].caller is None)
         if state == "held":
-            stage.advance(250)
-            again = int(stage.attempts[-1][2][1])
-            stage.links[again].say("answer", A, sdp="v=0")
+            harness.advance(250)
+            again = int(harness.attempts[-1][2][1])
+            harness.links[again].send("answer", A, sdp="v=0")
         elif state == "refused":
-            link.say("release", A, cause=17, fields={"note": "sub"})
+            link.send("release", A, cause=17, fields={"note": "sub"})
         elif state != "out":
-            link.say("answer", A, sdp="v=0")
+            link.send("answer", A, sdp="v=0")
         if state == "ended":
-            link.say("release", A, cause=16)
-            stage.until(lambda: bool(stage.planner.calls.unheard))
+            link.send("release", A, cause=16)
+            harness.until(lambda: bool(harness.planner.calls.unheard))
         elif state != "out":
-            stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].undelivered is not None)
-        sent = len(stage.attempts)
-        again_caller = stage.caller()
+            harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].undelivered is not None)
+        sent = len(harness.attempts)
+        again_caller = harness.caller()
         again_caller.set_up(A)
         if state == "out":
-            stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].caller is not None)
-            link.say("answer", A, sdp="v=0")
-        kind, call, cause, sdp = outcome(again_caller.hear())
+            harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].caller is not None)
+            link.send("answer", A, sdp="v=0")
+        kind, call, cause, sdp = outcome(again_caller.receive())
         assert call == A
         if state == "refused":
             assert (kind, cause) == ("release", 17)
@@ -185,46 +185,46 @@
             assert (kind, cause) == ("release", 16)
         else:
             assert (kind, sdp) == ("answer", "v=0")
-        assert len(stage.attempts) == sent, "reconnecting caused an attempt"
+        assert len(harness.attempts) == sent, "reconnecting caused an attempt"
     finally:
-        stage.end()
+        harness.end()
 
 
 @pytest.mark.parametrize("answered", [True, False])
 def test_a_call_whose_caller_never_reconnects_is_released_once(answered: bool) -> None:
-    stage = Stage(True)
+    harness = NodeHarness(True)
     try:
-        caller = stage.caller()
+        caller = harness.caller()
         caller.set_up(A, left_ms=1000)
-        assert stage.servers[0].hear()["id"] == A
-        caller.leave()
+        assert harness.servers[0].receive()["id"] == A
+        caller.disconnect()
         # An answer written before the proxy has seen the close counts as delivered.
-        stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].caller is None)
+        harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].caller is None)
         if answered:
-            stage.links[0].say("answer", A, sdp="v=0")
-            stage.until(lambda: stage.planner.calls.open_count == 0)
-        stage.advance(1100)
-        assert outcome(stage.servers[0].hear())[:3] == ("release", A, 16)
-        assert not stage.planner.calls.by_key
-        assert stage.servers[0].got.empty()
+            harness.links[0].send("answer", A, sdp="v=0")
+            harness.until(lambda: harness.planner.calls.open_count == 0)
+        harness.advance(1100)
+        assert outcome(harness.servers[0].receive())[:3] == ("release", A, 16)
+        assert not harness.planner.calls.by_key
+        assert harness.servers[0].received.empty()
     finally:
-        stage.end()
+        harness.end()
 
 
-def test_a_broken_server_connection_resets_its_outstanding_attempts(stage: Stage) -> None:
-    caller = stage.caller()
+def test_a_broken_server_connection_resets_its_outstanding_attempts(harness: NodeHarness) -> None:
+    caller = harness.caller()
     caller.set_up(A)
-    assert stage.servers[0].hear()["id"] == A
-    stage.links[0].leave()
-    stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].attempt is None)
-    stage.links[0] = stage.again(0)
-    stage.advance(195)
-    assert len(stage.attempts) == 1
-    stage.advance(50)
-    assert len(stage.attempts) == 2
-    server = int(stage.attempts[-1][2][1])
-    stage.links[server].say("answer", A, sdp="v=0")
-    assert outcome(caller.hear())[0] == "answer"
+    assert harness.servers[0].receive()["id"] == A
+    harness.links[0].disconnect()
+    harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].attempt is None)
+    harness.links[0] = harness.reconnect(0)
+    harness.advance(195)
+    assert len(harness.attempts) == 1
+    harness.advance(50)
+    assert len(harness.attempts) == 2
+    server = int(harness.attempts[-1][2][1])
+    harness.links[server].send("answer", A, sdp="v=0")
+    assert outcome(caller.receive())[0] == "answer"
 
 
 INVALID_ANSWERS = [
@@ -243,160 +243,162 @@
 
 @pytest.mark.parametrize("answer", INVALID_ANSWERS, ids=range(len(INVALID_ANSWERS)))
 def test_an_invalid_answer_drops_its_connection_and_resets_each_call_on_it(
-    stage: Stage, answer: bytes
+    harness: NodeHarness, answer: bytes
 ) -> None:
     """The connection is dropped; nothing is sent again within 200 ms, then both calls are answered."""
-    caller = stage.caller()
+    caller = harness.caller()
     for call in (A, B):
         caller.set_up(call)
-        assert stage.servers[0].hear()["id"] == call
-    dropped = stage.links[0]
-    if stage.websocket and len(answer) > 16384:
+        assert harness.servers[0].receive()["id"] == call
+    dropped = harness.links[0]
+    if harness.websocket and len(answer) > 16384:
         dropped.connection._enqueue(b"\x81\x7e" + len(answer).to_bytes(2, "big") + answer)
     else:
         assert dropped.connection.send(answer)
     assert dropped.closed.wait(PATIENCE_S)
-    stage.links[0] = stage.again(0)
-    stage.until(lambda: all(call.attempt is None for call in stage.planner.calls.by_key.values()))
-    stage.advance(195)
-    assert len(stage.attempts) == 2
-    assert caller.got.empty()
-    stage.advance(100)
-    assert sorted(call for _, call, _, _ in stage.attempts[2:]) == [A, B]
-    for _, call, server, _ in stage.attempts[2:]:
-        stage.links[int(server[1])].say("answer", call, sdp="v=0")
-        assert outcome(caller.hear())[:2] == ("answer", call)
-
-
-def test_duplicate_answers_and_unknown_ids_are_ignored(stage: Stage) -> None:
-    caller = stage.caller()
-    stage.links[0].say("answer", C, sdp="v=1")  # for a call that has not been set up yet
+    harness.links[0] = harness.reconnect(0)
+    harness.until(lambda: all(call.attempt is None for call in harness.planner.calls.by_key.values()))
+    harness.advance(195)
+    assert len(harness.attempts) == 2
+    assert caller.received.empty()
+    harness.advance(100)
+    assert sorted(call for _, call, _, _ in harness.attempts[2:]) == [A, B]
+    for _, call, server, _ in harness.attempts[2:]:
+        harness.links[int(server[1])].send("answer", call, sdp="v=0")
+        assert outcome(caller.receive())[:2] == ("answer", call)
+
+
+def test_duplicate_answers_and_unknown_ids_are_ignored(harness: NodeHarness) -> None:
+    caller = harness.caller()
+    harness.links[0].send("answer", C, sdp="v=1")  # for a call that has not been set up yet
     caller.set_up(A)
-    assert stage.servers[0].hear()["id"] == A
+    assert harness.servers[0].receive()["id"] == A
     for _ in range(3):
-        stage.links[0].say("answer", A, sdp="v=0")
-    stage.links[1].say("answer", A, sdp="v=2")  # and one from a server without an attempt
-    assert outcome(caller.hear())[:2] == ("answer", A)
-    assert outcome(stage.servers[1].hear())[:3] == ("release", A, 16)
-    caller.say("ping", B, cause=0)
-    assert caller.hear()["type"] == "pong"
+        harness.links[0].send("answer", A, sdp="v=0")
+    harness.links[1].send("answer", A, sdp="v=2")  # and one from a server without an attempt
+    assert outcome(caller.receive())[:2] == ("answer", A)
+    assert outcome(harness.servers[1].receive())[:3] == ("release", A, 16)
+    caller.send("ping", B, cause=0)
+    assert caller.receive()["type"] == "pong"
     caller.set_up(C)
-    assert stage.servers[0].hear()["id"] == C
-    stage.links[0].say("answer", C, sdp="v=3")
-    assert outcome(caller.hear()) == ("answer", C, None, "v=3")
-    assert stage.servers[0].got.empty()
+    assert harness.servers[0].receive()["id"] == C
+    harness.links[0].send("answer", C, sdp="v=3")
+    assert outcome(caller.receive()) == ("answer", C, None, "v=3")
+    assert harness.servers[0].received.empty()
 
 
-def test_an_open_call_rejects_a_set_up_with_its_id_and_another_description(stage: Stage) -> None:
-    caller, other = stage.caller(), stage.caller()
+def test_an_open_call_rejects_a_set_up_with_its_id_and_another_description(harness: NodeHarness) -> None:
+    caller, other = harness.caller(), harness.caller()
     caller.set_up(A)
-    assert stage.servers[0].hear()["id"] == A
-    other.say("setup", A, sdp="another", fields={"class": "slot-confirm", "left": "900"})
-    assert outcome(other.hear())[:3] == ("release", A, 100)
-    stage.links[0].say("answer", A, sdp="v=0")
-    assert outcome(caller.hear()) == ("answer", A, None, "v=0")
-    assert other.got.empty()
-    assert len(stage.attempts) == 1
+    assert harness.servers[0].receive()["id"] == A
+    other.send("setup", A, sdp="another", fields={"class": "slot-confirm", "left": "900"})
+    assert outcome(other.receive())[:3] == ("release", A, 100)
+    harness.links[0].send("answer", A, sdp="v=0")
+    assert outcome(caller.receive()) == ("answer", A, None, "v=0")
+    assert other.received.empty()
+    assert len(harness.attempts) == 1
 
 
-def test_a_call_may_be_released_on_any_connection_without_using_its_credit(stage: Stage) -> None:
-    caller, other = stage.caller(), stage.caller()
+def test_a_call_may_be_released_on_any_connection_without_using_its_credit(harness: NodeHarness) -> None:
+    caller, other = harness.caller(), harness.caller()
     for number in range(0x100, 0x100 + 40):
         call = f"{number:016x}"
         caller.set_up(call)
-        assert stage.servers[0].hear()["id"] == call
-        stage.links[0].say("answer", call, sdp="v=0")
-        assert outcome(caller.hear())[:2] == ("answer", call)
-        other.say("release", call, cause=16)
-        assert outcome(stage.servers[0].hear())[:3] == ("release", call, 16)
-    stage.settle()
-    sessions = stage.node.fronts[1 if stage.websocket else 0]._sessions
+        assert harness.servers[0].receive()["id"] == call
+        harness.links[0].send("answer", call, sdp="v=0")
+        assert outcome(caller.receive())[:2] == ("answer", call)
+        other.send("release", call, cause=16)
+        assert outcome(harness.servers[0].receive())[:3] == ("release", call, 16)
+    harness.settle()
+    sessions = harness.node.fronts[1 if harness.websocket else 0]._sessions
     assert min(session._credit for session in sessions) >= CREDIT - 1.0
     assert not any(session._stands for session in sessions)
 
 
-def test_a_caller_that_is_disconnected_gets_its_outstanding_outcomes(stage: Stage) -> None:
-    caller = stage.caller()
+def test_a_caller_that_is_disconnected_gets_its_outstanding_outcomes(harness: NodeHarness) -> None:
+    caller = harness.caller()
     for call in (A, B):
         caller.set_up(call)
-        assert stage.servers[0].hear()["id"] == call
+        assert harness.servers[0].receive()["id"] == call
     assert caller.connection.send(b'{"type":"setup"}')
-    told = {outcome(caller.hear())[:3] for _ in range(2)}
+    told = {outcome(caller.receive())[:3] for _ in range(2)}
     assert told == {("release", A, 100), ("release", B, 100)}
-    assert outcome(caller.hear())[:3] == ("release", "", 100)
+    assert outcome(caller.receive())[:3] == ("release", "", 100)
     assert caller.closed.wait(PATIENCE_S)
-    given_up = {outcome(stage.servers[0].hear())[:3] for _ in range(2)}
+    given_up = {outcome(harness.servers[0].receive())[:3] for _ in range(2)}
     assert given_up == {("release", A, 16), ("release", B, 16)}
 
 
 def test_a_call_at_a_server_whose_process_died_is_ended_at_once_and_not_after_a_backoff(
-    stage: Stage,
+    harness: NodeHarness,
 ) -> None:
     """The clock does not advance: by the end of a backoff, another server may listen at the address."""
-    caller = stage.caller()
+    caller = harness.caller()
     caller.set_up(A)
-    assert stage.servers[0].hear()["id"] == A
-    stage.links[0].say("answer", A, sdp="v=0")
-    assert outcome(caller.hear())[:2] == ("answer", A)
-    stage.servers[0].listener.shutdown(socket.SHUT_RDWR)
-    stage.servers[0].listener.close()
-    stage.links[0].leave()
-    assert outcome(caller.hear())[:3] == ("release", A, 41)
+    assert harness.servers[0].receive()["id"] == A
+    harness.links[0].send("answer", A, sdp="v=0")
+    assert outcome(caller.receive())[:2] == ("answer", A)
+    harness.servers[0].listener.shutdown(socket.SHUT_RDWR)
+    harness.servers[0].listener.close()
+    harness.links[0].disconnect()
+    assert outcome(caller.receive())[:3] == ("release", A, 41)
 
 
-def test_a_new_server_at_an_old_address_gets_none_of_the_calls_of_its_predecessor(stage: Stage) -> None:
-    caller = stage.caller()
+def test_a_new_server_at_an_old_address_gets_none_of_the_calls_of_its_predecessor(
+    harness: NodeHarness,
+) -> None:
+    caller = harness.caller()
     for call in (A, B):
         caller.set_up(call)
-        assert stage.servers[0].hear()["id"] == call
-    stage.links[0].say("answer", A, sdp="v=0")
-    assert outcome(caller.hear())[:2] == ("answer", A)
-    listed = ListedServer("new", 0, ServerStatus.ACTIVE, stage.clock.now_ms())
-    stage.planner.inbox.put(
-        m.ServerListUpdate(2, False, (m.LocatedServer(listed, stage.servers[0].endpoint),))
+        assert harness.servers[0].receive()["id"] == call
+    harness.links[0].send("answer", A, sdp="v=0")
+    assert outcome(caller.receive())[:2] == ("answer", A)
+    listed = ListedServer("new", 0, ServerStatus.ACTIVE, harness.clock.now_ms())
+    harness.planner.inbox.put(
+        m.ServerListUpdate(2, False, (m.LocatedServer(listed, harness.servers[0].endpoint),))
     )
-    assert outcome(caller.hear())[:3] == ("release", A, 41)
-    assert stage.links[0].closed.wait(PATIENCE_S)
-    stage.links[0] = stage.again(0, "new")
-    stage.until(lambda: stage.planner._known["new"].epoch is not None)
-    assert "s0" not in stage.planner._known
-    assert stage.planner.calls.by_key[int(B, 16)].attempt is None
-    stage.advance(300)
-    assert stage.attempts[-1][1:3] in ((B, "new"), (B, "s1"))
+    assert outcome(caller.receive())[:3] == ("release", A, 41)
+    assert harness.links[0].closed.wait(PATIENCE_S)
+    harness.links[0] = harness.reconnect(0, "new")
+    harness.until(lambda: harness.planner._known["new"].epoch is not None)
+    assert "s0" not in harness.planner._known
+    assert harness.planner.calls.by_key[int(B, 16)].attempt is None
+    harness.advance(300)
+    assert harness.attempts[-1][1:3] in ((B, "new"), (B, "s1"))
 
 
 @pytest.mark.parametrize("told", ["on the next connection", "by the list alone"])
 def test_a_call_whose_server_died_and_whose_address_was_taken_over_is_ended_once(
-    stage: Stage,
+    harness: NodeHarness,
     told: str,
 ) -> None:
     """A new server listens at the address before a connect fails and before the list shows the change.
 
     The end of the call arrives on the next connection, or never; its caller is told exactly once.
     """
-    caller = stage.caller()
+    caller = harness.caller()
     caller.set_up(A)
-    assert stage.servers[0].hear()["id"] == A
-    stage.links[0].say("answer", A, sdp="v=0")
-    assert outcome(caller.hear())[:2] == ("answer", A)
-    stage.links[0].leave()
-    stage.links[0] = stage.again(0)  # the address never stopped accepting connections
-    stage.until(lambda: stage.planner._known["s0"].epoch is not None)
+    assert harness.servers[0].receive()["id"] == A
+    harness.links[0].send("answer", A, sdp="v=0")
+    assert outcome(caller.receive())[:2] == ("answer", A)
+    harness.links[0].disconnect()
+    harness.links[0] = harness.reconnect(0)  # the address never stopped accepting connections
+    harness.until(lambda: harness.planner._known["s0"].epoch is not None)
     if told == "on the next connection":
-        stage.links[0].say("release", A, cause=16)
-        assert outcome(caller.hear())[:3] == ("release", A, 16)
-    listed = ListedServer("new", 0, ServerStatus.ACTIVE, stage.clock.now_ms())
-    stage.planner.inbox.put(
-        m.ServerListUpdate(2, False, (m.LocatedServer(listed, stage.servers[0].endpoint),))
+        harness.links[0].send("release", A, cause=16)
+        assert outcome(caller.receive())[:3] == ("release", A, 16)
+    listed = ListedServer("new", 0, ServerStatus.ACTIVE, harness.clock.now_ms())
+    harness.planner.inbox.put(
+        m.ServerListUpdate(2, False, (m.LocatedServer(listed, harness.servers[0].endpoint),))
     )
     if told == "by the list alone":
-        assert outcome(caller.hear())[:3] == ("release", A, 41)
-    stage.links[0] = stage.again(0, "new")
-    stage.links[0].say("release", A, cause=16)  # repeated: the caller must not be told twice
-    stage.until(lambda: stage.planner._known["new"].epoch is not None)
-    stage.settle()
-    caller.say("ping", B, cause=0)
-    assert caller.hear()["type"] == "pong"
+        assert outcome(caller.receive())[:3] == ("release", A, 41)
+    harness.links[0] = harness.reconnect(0, "new")
+    harness.links[0].send("release", A, cause=16)  # repeated: the caller must not be told twice
+    harness.until(lambda: harness.planner._known["new"].epoch is not None)
+    harness.settle()
+    caller.send("ping", B, cause=0)
+    assert caller.receive()["type"] == "pong"
 
 
 def established_link(server: BookingServer, clock: ManualClock) -> tuple[Link, Peer, Callable[[], None]]:
@@ -524,12 +526,12 @@
         new.close()
 
 
-def test_a_slow_reader_does_not_delay_other_callers(stage: Stage) -> None:
+def test_a_slow_reader_does_not_delay_other_callers(harness: NodeHarness) -> None:
     """One caller stops reading until its write queue overflows; another's calls succeed meanwhile."""
-    slow, fast = stage.caller(), stage.caller()
+    slow, fast = harness.caller(), harness.caller()
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    slow.awake.clear()
-    slow.say("ping", B, cause=0)
+    slow.may_read.clear()
+    slow.send("ping", B, cause=0)
     big = "d" * 12000
     for number in range(0x1000, 0x1000 + 200):
         call = f"{number:016x}"
@@ -537,48 +539,50 @@
         if asked is slow and slow.closed.is_set():
             continue
         asked.set_up(call)
-        while (got := stage.servers[0].hear())["id"] != call or got["type"] != "setup":
+        while (got := harness.servers[0].receive())["id"] != call or got["type"] != "setup":
             pass
-        stage.links[0].say("answer", call, sdp=big)
+        harness.links[0].send("answer", call, sdp=big)
         if asked is fast:
-            assert outcome(fast.hear())[:2] == ("answer", call)
+            assert outcome(fast.receive())[:2] == ("answer", call)
 
 
 def test_a_full_websocket_listener_rejects_callers() -> None:
-    stage = Stage(True, limits={"sockets": 6})
+    harness = NodeHarness(True, limits={"sockets": 6})
     try:
-        first = stage.caller()
+        first = harness.caller()
         first.set_up(A)
-        assert stage.servers[0].hear()["id"] == A
-        second = stage.caller()
+        assert harness.servers[0].receive()["id"] == A
+        second = harness.caller()
         assert second.closed.wait(PATIENCE_S)
-        stage.links[0].say("answer", A, sdp="v=0")
-        assert first.hear()["type"] == "answer"
+        harness.links[0].send("answer", A, sdp="v=0")
+        assert first.receive()["type"] == "answer"
     finally:
-        stage.end()
+        harness.end()
 
 
-def test_a_stop_waits_for_outcomes_and_established_calls_but_not_for_undelivered_ends(stage: Stage) -> None:
+def test_a_stop_waits_for_outcomes_and_established_calls_but_not_for_undelivered_ends(
+    harness: NodeHarness,
+) -> None:
     """A restart loses no outcomes, and does not wait for callers that can no longer come back."""
-    caller = stage.caller()
+    caller = harness.caller()
     for call in (A, B):
         caller.set_up(call)
-        assert stage.servers[0].hear()["id"] == call
-    stage.planner.inbox.put(m.Stop(stage.clock.now_ms() + 9000.0))
-    stage.settle()
-    assert not stage.planner.finished()
-    stage.links[0].say("answer", A, sdp="v=0")
-    assert outcome(caller.hear())[:2] == ("answer", A)
-    stage.links[0].say("release", B, cause=17, fields={"note": "sub"})
-    assert outcome(caller.hear())[:3] == ("release", B, 17)
-    assert not stage.planner.finished()
-    caller.leave()
-    stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].caller is None)
-    stage.links[0].say("release", A, cause=16)
-    thread = next(t for t in stage.node._threads if t.name == stage.planner.name)
+        assert harness.servers[0].receive()["id"] == call
+    harness.planner.inbox.put(m.Stop(harness.clock.now_ms() + 9000.0))
+    harness.settle()
+    assert not harness.planner.finished()
+    harness.links[0].send("answer", A, sdp="v=0")
+    assert outcome(caller.receive())[:2] == ("answer", A)
+    harness.links[0].send("release", B, cause=17, fields={"note": "sub"})
+    assert outcome(caller.receive())[:3] == ("release", B, 17)
+    assert not harness.planner.finished()
+    caller.disconnect()
+    harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].caller is None)
+    harness.links[0].send("release", A, cause=16)
+    thread = next(t for t in harness.node._threads if t.name == harness.planner.name)
     thread.join(PATIENCE_S)
     assert not thread.is_alive()
-    assert stage.planner.calls.unheard
+    assert harness.planner.calls.unheard
 
 
 def test_planners_have_distinct_slots_and_each_call_has_one_planner() -> None:
@@ -590,29 +594,29 @@
     ]
     assert sorted(one.gateway_no for one in fleet) == list(range(6))
     assert {one.gateway_count for one in fleet} == {6}
-    stage = Stage(False, planners=3)
+    harness = NodeHarness(False, planners=3)
     try:
         ids = [f"{number:016x}" for number in range(0xA00, 0xA40)]
-        planners = [stage.node._planner_of(call) for call in ids]
-        assert planners == [stage.node._planner_of(call.upper()) for call in ids]
-        assert set(planners) == set(stage.node.planners)
+        planners = [harness.node._planner_of(call) for call in ids]
+        assert planners == [harness.node._planner_of(call.upper()) for call in ids]
+        assert set(planners) == set(harness.node.planners)
     finally:
-        stage.end()
+        harness.end()
 
 
-def test_a_server_that_changes_address_is_not_affected_by_its_old_link(stage: Stage) -> None:
+def test_a_server_that_changes_address_is_not_affected_by_its_old_link(harness: NodeHarness) -> None:
     """The end of the old connection, reported late, must not be taken for the new one's."""
-    caller, moved = stage.caller(), BookingServer(stage.websocket)
-    old = stage.planner._known["s0"].epoch
+    caller, moved = harness.caller(), BookingServer(harness.websocket)
+    old = harness.planner._known["s0"].epoch
     listed = ListedServer("s0", 0, ServerStatus.ACTIVE)
-    stage.planner.inbox.put(m.ServerListUpdate(2, False, (m.LocatedServer(listed, moved.endpoint),)))
-    stage.settle()
-    stage.planner.servers.connect("s0")
+    harness.planner.inbox.put(m.ServerListUpdate(2, False, (m.LocatedServer(listed, moved.endpoint),)))
+    harness.settle()
+    harness.planner.servers.connect("s0")
     link = moved.peer()
-    assert stage.links[0].closed.wait(PATIENCE_S)
-    stage.until(lambda: stage.planner._known["s0"].epoch not in (None, old))
-    stage.planner.inbox.put(m.LinkDown("s0", old))
+    assert harness.links[0].closed.wait(PATIENCE_S)
+    harness.until(lambda: harness.planner._known["s0"].epoch not in (None, old))
+    harness.planner.inbox.put(m.LinkDown("s0", old))
     caller.set_up(A)
-    assert moved.hear()["id"] == A
-    link.say("answer", A, sdp="v=0")
-    assert outcome(caller.hear())[:2] == ("answer", A)
+    assert moved.receive()["id"] == A
+    link.send("answer", A, sdp="v=0")
+    assert outcome(caller.receive())[:2] == ("answer", A)
--- a/tests/test_memory_running.py
+++ b/tests/test_memory_running.py
@@ -248,7 +248,7 @@
     def _answer(self) -> None:
         peer = self.peer()
         while True:
-            message = self.got.get()
+            message = self.received.get()
             while not self.peers.empty():
                 peer = self.peers.get()
             if message["type"] == "setup":
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -36,8 +36,8 @@
 
 def answer_all(server: BookingServer, link: Peer) -> None:
     while True:
-        if (got := server.got.get())["type"] == "setup":
-            link.say("answer", got["id"], sdp=got["sdp"])
+        if (got := server.received.get())["type"] == "setup":
+            link.send("answer", got["id"], sdp=got["sdp"])
 
 
 def test_set_ups_split_at_any_byte_get_one_answer_each(tmp_path: Path) -> None:
@@ -66,11 +66,11 @@
                 if left:
                     caller.sock.sendall(left.pop(0))
         for caller, calls, _ in waiting:
-            heard = [caller.got.get(timeout=PATIENCE_S) for _ in calls]
+            heard = [caller.received.get(timeout=PATIENCE_S) for _ in calls]
             assert sorted(one["id"] for one in heard) == calls
             for one in heard:
                 assert one["type"] == "answer" and one["sdp"] == f"größer als ein Byte: {one['id']}\r\n"
-            assert caller.got.empty()
+            assert caller.received.empty()
     finally:
         program.process.kill()
         program.process.wait()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -183,9 +183,9 @@
     link = server.peer()
     caller = Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue())
     caller.set_up("00000000000000a1")
-    assert server.hear()["type"] == "setup"
-    link.say("answer", "00000000000000a1", sdp="a")
-    assert caller.hear()["type"] == "answer"
+    assert server.receive()["type"] == "setup"
+    link.send("answer", "00000000000000a1", sdp="a")
+    assert caller.receive()["type"] == "answer"
     program.process.send_signal(signal.SIGTERM)
     program.says("told to stop")
     for board in (new, newest):
@@ -196,7 +196,7 @@
         program.process.send_signal(signal.SIGHUP)
         assert board.poll() == "3"
     program.process.send_signal(signal.SIGTERM)  # once more changes nothing
-    caller.say("release", "00000000000000a1", cause=16)
+    caller.send("release", "00000000000000a1", cause=16)
     assert program.process.wait(PATIENCE_S) == 0
 
 
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -13,7 +13,7 @@
 from capershelf.fronts.session import LEAST_LEFT_MS
 from capershelf.node import Node
 from capershelf.registry.board import FRESH_MS
-from tests.peers import OPERATOR, Peer, Stage
+from tests.peers import OPERATOR, NodeHarness, Peer
 
 A, B = (f"{n:016x}" for n in range(0xA0, 0xA2))
 STOOD_MS = 3000.0
@@ -64,39 +64,39 @@
 
 
 @pytest.fixture(params=[False, True], ids=["lines", "websocket"])
-def stage(request: pytest.FixtureRequest) -> Iterator[Stage]:
-    made = Stage(request.param)
+def harness(request: pytest.FixtureRequest) -> Iterator[NodeHarness]:
+    made = NodeHarness(request.param)
     yield made
     made.end()
 
 
-def time_given(stage: Stage, caller: Peer, call: str, left_ms: int) -> float:
+def time_given(harness: NodeHarness, caller: Peer, call: str, left_ms: int) -> float:
     """For how long the booking server that gets the set-up may take."""
-    sent = len(stage.attempts)
+    sent = len(harness.attempts)
     caller.set_up(call, left_ms=left_ms)
-    stage.until(lambda: len(stage.attempts) > sent)
-    return stage.attempts[sent][3]
+    harness.until(lambda: len(harness.attempts) > sent)
+    return harness.attempts[sent][3]
 
 
-def test_a_set_up_that_lay_unread_is_answered_before_its_caller_may_have_left(stage: Stage) -> None:
+def test_a_set_up_that_lay_unread_is_answered_before_its_caller_may_have_left(harness: NodeHarness) -> None:
     """Sent as the standstill began, it has 3 s less than it says; its booking server says nothing."""
-    caller = stage.caller()
-    now_ms = stage.clock.now_ms()
-    stage.clock.standstill = Standstill(now_ms - STOOD_MS, now_ms)
-    assert time_given(stage, caller, A, 4000) <= 4000.0 - STOOD_MS
-    assert time_given(stage, caller, B, 2250) <= LEAST_LEFT_MS
-    stage.advance(LEAST_LEFT_MS)
-    assert caller.hear()["id"] == B
-    stage.advance(4000.0 - STOOD_MS - LEAST_LEFT_MS)
-    assert caller.hear()["id"] == A
-
-
-def test_a_set_up_has_its_whole_time_once_the_backlog_is_read(stage: Stage) -> None:
-    caller = stage.caller()
-    now_ms = stage.clock.now_ms()
-    stage.clock.standstill = Standstill(now_ms - STOOD_MS, now_ms)
-    stage.advance(BACKLOG_MS + 5.0)
-    assert time_given(stage, caller, A, 4000) > 4000.0 - STOOD_MS
+    caller = harness.caller()
+    now_ms = harness.clock.now_ms()
+    harness.clock.standstill = Standstill(now_ms - STOOD_MS, now_ms)
+    assert time_given(harness, caller, A, 4000) <= 4000.0 - STOOD_MS
+    assert time_given(harness, caller, B, 2250) <= LEAST_LEFT_MS
+    harness.advance(LEAST_LEFT_MS)
+    assert caller.receive()["id"] == B
+    harness.advance(4000.0 - STOOD_MS - LEAST_LEFT_MS)
+    assert caller.receive()["id"] == A
+
+
+def test_a_set_up_has_its_whole_time_once_the_backlog_is_read(harness: NodeHarness) -> None:
+    caller = harness.caller()
+    now_ms = harness.clock.now_ms()
+    harness.clock.standstill = Standstill(now_ms - STOOD_MS, now_ms)
+    harness.advance(BACKLOG_MS + 5.0)
+    assert time_given(harness, caller, A, 4000) > 4000.0 - STOOD_MS
 
 
 class NotingClock(clocks.ManualClock):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -80,10 +80,10 @@
         link = server.peer()
         caller = Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue())
         caller.set_up("00000000000000a1")
-        assert server.hear()["type"] == "setup"
-        link.say("answer", "00000000000000a1", sdp="a")
-        assert caller.hear()["type"] == "answer"
-        caller.say("release", "00000000000000a1", cause=16)
+        assert server.receive()["type"] == "setup"
+        link.send("answer", "00000000000000a1", sdp="a")
+        assert caller.receive()["type"] == "answer"
+        caller.send("release", "00000000000000a1", cause=16)
         program.process.send_signal(signal.SIGHUP)
         program.says("read again")
         program.process.send_signal(signal.SIGTERM)
@@ -118,8 +118,8 @@
         for program, listen in zip(programs, listens, strict=True):
             program.says("serves on")
             caller = Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue())
-            caller.say("ping", "00000000000000a1", cause=0)
-            assert caller.hear()["cause"] == 1
+            caller.send("ping", "00000000000000a1", cause=0)
+            assert caller.receive()["cause"] == 1
     finally:
         for program in programs:
             program.process.kill()
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -141,7 +141,7 @@
 
     def set_up(self, caller: Peer, call: str) -> None:
         fields = {"class": "usual", "left": "5000"}
-        caller.say("setup", call, fields=fields, sdp="v=0")
+        caller.send("setup", call, fields=fields, sdp="v=0")
 
 
 def test_a_connection_that_only_the_machine_has_accepted_is_still_answered() -> None:
@@ -151,7 +151,7 @@
     door.house.close()
     door.listener.stop_accepting()
     door.listener.close_all(door.house.clock.now_ms() + 1000.0 * PATIENCE_S)
-    assert caller.hear() == {"type": "release", "id": "00000000000000a1", "fields": {}, "cause": 34}
+    assert caller.receive() == {"type": "release", "id": "00000000000000a1", "fields": {}, "cause": 34}
     assert caller.closed.wait(PATIENCE_S)
 
 
@@ -177,7 +177,7 @@
     until(lambda: door.listener._closing)
     assert over.is_alive(), "the accepting thread still has one in hand"
     on.set()
-    assert caller.hear() == {"type": "release", "id": "00000000000000a1", "fields": {}, "cause": 34}
+    assert caller.receive() == {"type": "release", "id": "00000000000000a1", "fields": {}, "cause": 34}
     assert caller.closed.wait(PATIENCE_S)
 
 
@@ -191,7 +191,7 @@
     door.house.close()
     assert door.house.owed == 1
     door.set_up(caller, "00000000000000a2")
-    assert caller.hear()["id"] == "00000000000000a2"
+    assert caller.receive()["id"] == "00000000000000a2"
     came.caller.notify(m.Refused(came.request.id))
     assert isinstance(door.put.get(timeout=PATIENCE_S), m.InboxBarrier), (
         "the planner that waits for it is woken"
@@ -373,31 +373,31 @@
             for number, name in enumerate(("stands", "out", "reset", "connects", "late"), 0xA0)
         }
         caller.set_up(calls["stands"], extras="dest:1")
-        assert resets.hear()["type"] == "setup"
-        links[1].say("answer", calls["stands"], sdp="v=0")
-        assert caller.hear()["type"] == "answer"
+        assert resets.receive()["type"] == "setup"
+        links[1].send("answer", calls["stands"], sdp="v=0")
+        assert caller.receive()["type"] == "answer"
 
         def reset() -> None:
             while True:
-                if (got := resets.got.get())["type"] == "setup":
-                    links[1].say("release", got["id"], cause=41)
+                if (got := resets.received.get())["type"] == "setup":
+                    links[1].send("release", got["id"], cause=41)
 
         threading.Thread(target=reset, daemon=True).start()
         for place, name in enumerate(("out", "reset", "connects")):
             caller.set_up(calls[name], extras=f"dest:{place}")
-        assert silent.hear()["type"] == "setup"
+        assert silent.receive()["type"] == "setup"
         program.process.send_signal(signal.SIGTERM)
         program.says("told to stop")
         caller.set_up(calls["late"], extras="dest:1")
         heard: dict[str, list[str]] = {}
         while sum(map(len, heard.values())) < 4:
-            got = caller.hear()
+            got = caller.receive()
             heard.setdefault(got["id"], []).append(got["type"])
         assert heard == {calls[name]: ["release"] for name in ("out", "reset", "connects", "late")}
-        links[1].say("release", calls["stands"], cause=16)  # and what stands is still told its end
-        assert caller.hear()["id"] == calls["stands"]
+        links[1].send("release", calls["stands"], cause=16)  # and what stands is still told its end
+        assert caller.receive()["id"] == calls["stands"]
         assert program.process.wait(PATIENCE_S) == 0
-        assert caller.closed.wait(PATIENCE_S) and caller.got.empty()
+        assert caller.closed.wait(PATIENCE_S) and caller.received.empty()
     finally:
         program.process.kill()
         program.process.wait()
