--- a/capershelf/net/buffers.py
+++ b/capershelf/net/buffers.py
@@ -18,11 +18,13 @@
         self.in_use = 0
 
     def acquire(self) -> bytearray:
+        """A buffer of BUFFER_BYTES with arbitrary content."""
         with self._lock:
             self.in_use += 1
             return self._free.pop() if self._free else bytearray(BUFFER_BYTES)
 
     def release(self, buffer: bytearray) -> None:
+        """Take a buffer back for reuse."""
         with self._lock:
             self.in_use -= 1
             if len(self._free) < MAX_FREE_BUFFERS:
--- a/capershelf/net/connection.py
+++ b/capershelf/net/connection.py
@@ -143,6 +143,7 @@
         self.drop_reason = ""
 
     def start(self) -> None:
+        """Run the connection on a thread of its own."""
         start_detached_thread(self.run)
 
     def send(self, message: bytes, tag: str = "", gate: WriteGate | None = None) -> bool:
--- a/capershelf/net/http.py
+++ b/capershelf/net/http.py
@@ -8,7 +8,7 @@
 
 from capershelf.core.clock import Clock
 from capershelf.net.buffers import POOL
-from capershelf.net.connection import set_timeout_until, connect
+from capershelf.net.connection import connect, set_timeout_until
 
 MAX_HEAD_BYTES = 8 * 1024
 CONNECT_TIMEOUT_MS = 1000.0
@@ -82,13 +82,14 @@
                     self._sock.shutdown(socket.SHUT_RDWR)  # wakes the reading thread
 
     def close(self) -> None:
+        """Close the connection; the next request opens a new one."""
         with self._lock:
             sock, self._sock = self._sock, None
         if sock is not None:
             sock.close()
         self._unparsed.clear()
 
-    def _connected(self, deadline_ms: float) -> tuple[socket.socket, str]:
+    def _get_connection(self, deadline_ms: float) -> tuple[socket.socket, str]:
         """A connection to the current endpoint, and that endpoint."""
         if self._endpoint_changed:
             self.close()
@@ -104,7 +105,7 @@
         return sock, endpoint
 
     def _exchange(self, line: str, data: bytes, deadline_ms: float) -> tuple[int, bytes]:
-        sock, endpoint = self._connected(deadline_ms)
+        sock, endpoint = self._get_connection(deadline_ms)
         set_timeout_until(sock, self._clock, deadline_ms)
         sock.sendall(f"{line}Host: {endpoint}\r\n".encode() + data)
         while True:
@@ -130,6 +131,7 @@
         return status, body
 
     def _receive(self, deadline_ms: float) -> bool:
+        """Receive more data; False at the end of the stream."""
         if self._sock is None:
             return False
         set_timeout_until(self._sock, self._clock, deadline_ms)
@@ -144,6 +146,7 @@
         return count > 0
 
     def _read_until(self, delimiter: bytes, max_bytes: int, deadline_ms: float) -> bytes:
+        """Read up to the delimiter and consume it."""
         while (end := self._unparsed.find(delimiter)) < 0:
             if len(self._unparsed) > max_bytes:
                 raise HttpError("the head is too long")
--- a/capershelf/net/links.py
+++ b/capershelf/net/links.py
@@ -153,12 +153,14 @@
         self._available = limit
 
     def acquire(self) -> bool:
+        """Take a slot; False if none is free."""
         if self._available <= 0:
             return False
         self._available -= 1
         return True
 
     def release(self) -> None:
+        """Return a slot."""
         self._available += 1
 
 
--- a/capershelf/net/poller.py
+++ b/capershelf/net/poller.py
@@ -74,6 +74,7 @@
         heapq.heappush(self._timers, (when_ms, next(self._sequence), callback))
 
     def run(self) -> None:
+        """Run the loop until end() is called."""
         while not self._ended:
             self.step()
 
--- a/capershelf/net/tls.py
+++ b/capershelf/net/tls.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from capershelf.net.buffers import MAX_MESSAGE_BYTES
-from capershelf.net.framing import Buffered, Framing, CloseConnectionError, Reply
+from capershelf.net.framing import Buffered, CloseConnectionError, Framing, Reply
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
                 yield Reply(output)
         while self._handshake_done and (count := self._decrypt()):
             for item in self._inner.parse(count):
-                yield Reply(self._encrypt_locked(item)) if isinstance(item, Reply) else item
+                yield Reply(self._lock_and_encrypt(item)) if isinstance(item, Reply) else item
 
     def _do_handshake(self) -> None:
         try:
@@ -101,9 +101,7 @@
             try:
                 space = self._inner.read_buffer()
                 count: Any = self._tls.read(min(len(space), MAX_MESSAGE_BYTES), space)
-                return int(
-                    count
-                )  # a byte count; typeshed declares bytes, which is the result without a buffer
+                return int(count)  # a byte count; the declared type, bytes, is for calls without a buffer
             except ssl.SSLWantReadError:
                 return 0
             except ssl.SSLZeroReturnError as error:
@@ -112,22 +110,23 @@
                 raise CloseConnectionError(f"TLS: {error.reason or error}") from error
 
     def _encrypt(self, data: bytes) -> bytes:
+        """Encrypt data; the caller holds the lock."""
         if data:
             self._tls.write(data)
         return self._outgoing.read()
 
-    def _encrypt_locked(self, data: bytes) -> bytes:
+    def _lock_and_encrypt(self, data: bytes) -> bytes:
         with self._lock:
             return self._encrypt(data)
 
     def frame(self, message: bytes) -> bytes:
-        return self._encrypt_locked(self._inner.frame(message))
+        return self._lock_and_encrypt(self._inner.frame(message))
 
     def close_frame(self, code: int, reason: str) -> bytes:
         if not self._handshake_done:
             return b""
         frame = self._inner.close_frame(code, reason)
-        return self._encrypt_locked(frame) if frame else b""
+        return self._lock_and_encrypt(frame) if frame else b""
 
     def release_buffers(self) -> None:
         self._inner.release_buffers()
--- a/capershelf/net/vocabulary.py
+++ b/capershelf/net/vocabulary.py
@@ -123,6 +123,7 @@
     sdp: str | None = None,
     fields: dict[str, str] | None = None,
 ) -> bytes:
+    """Encode a message of this type."""
     message: dict[str, Any] = {"type": kind, "id": call_id, "fields": fields or {}}
     if cause is not None:
         message["cause"] = cause
@@ -133,6 +134,7 @@
 
 
 def parse_call_id(message: dict[str, Any]) -> str:
+    """The message's call id."""
     found = message.get("id")
     if not isinstance(found, str) or not HEX_ID.fullmatch(found):
         raise InvalidMessageError("its id is not 16 hex digits")
@@ -140,6 +142,7 @@
 
 
 def parse_fields(message: dict[str, Any], message_id: str) -> dict[str, str | int | float]:
+    """The message's fields, checked to be text or numbers."""
     found = message.get("fields", {})
     if not isinstance(found, dict):
         raise InvalidMessageError("its fields are not an object", message_id)
@@ -150,6 +153,7 @@
 
 
 def parse_number(value: Any, what: str, message_id: str) -> float:
+    """A finite number; what names the value in the error."""
     try:
         number = float(value)
     except (TypeError, ValueError, OverflowError):
@@ -160,6 +164,7 @@
 
 
 def parse_cause(message: dict[str, Any], message_id: str) -> int:
+    """The message's cause as an integer."""
     return int(parse_number(message.get("cause", CAUSE_NORMAL), "cause", message_id))
 
 
@@ -169,6 +174,7 @@
 
 
 def parse_whole_number(text: str, what: str, message_id: str) -> int:
+    """An integer of at most nine digits; what names the value in the error."""
     if not WHOLE_NUMBER.fullmatch(text):
         raise InvalidMessageError(f"its {what} is no whole number", message_id)
     return int(text)
--- a/capershelf/net/websocket.py
+++ b/capershelf/net/websocket.py
@@ -29,6 +29,7 @@
 
 
 def accept_key(key: str) -> str:
+    """The Sec-WebSocket-Accept value for a Sec-WebSocket-Key."""
     return base64.b64encode(hashlib.sha1(key.encode() + GUID).digest()).decode()
 
 
@@ -41,6 +42,7 @@
 
 
 def build_frame(opcode: int, payload: bytes, mask: bytes = b"", fin: bool = True) -> bytes:
+    """Encode a frame, masked if a mask is given."""
     first = opcode | (0x80 if fin else 0)
     bit = 0x80 if mask else 0
     if len(payload) < 126:
