--- a/capershelf/fronts/listener.py
+++ b/capershelf/fronts/listener.py
@@ -107,7 +107,7 @@
         except Exception:  # for example, no thread could be started
             with self._lock:
                 self._sessions.discard(session)
-            framing.done()
+            framing.release_buffers()
             raise
 
     def _evict_idle(self, count: int) -> bool:
@@ -125,7 +125,7 @@
         idle.sort(
             key=lambda session: (
                 not session.awaiting_first_message,
-                session.connection.half(),
+                session.connection.has_partial_message(),
                 session.last_activity_ms,
             )
         )
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Small callers and booking servers of our own, over either transport, and a node on a manual clock."""
+"""Test callers and booking servers over either transport, and a node on a manual clock."""
 
 from __future__ import annotations
 
@@ -19,27 +19,29 @@
 from capershelf.net.websocket import WebSocket
 from capershelf.node import Node
 
-PATIENCE_S = 20.0  # a test that waits so long hangs: no verdict hangs on less
+PATIENCE_S = 20.0  # a test that waits this long has hung; no result depends on shorter times
 OPERATOR = Path(__file__).parent.parent / "deploy" / "operator.toml"
 
 
 def until(holds: Callable[[], object]) -> None:
-    """Wait for what another thread brings about."""
+    """Wait until another thread has made the condition true."""
     pause = threading.Event()
     for _ in range(int(PATIENCE_S * 1000)):
         if holds():
             return
         pause.wait(0.001)
-    raise AssertionError("it never came about")
+    raise AssertionError("the condition never became true")
 
 
 class Peer:
-    """One end of a connection that keeps what it is told."""
-
-    def __init__(self, sock: socket.socket, framing: Framing, got: queue.SimpleQueue[dict[str, Any]]) -> None:
-        self.sock, self.got = sock, got
-        self.closed, self.opened, self.awake = threading.Event(), threading.Event(), threading.Event()
-        self.awake.set()
+    """One end of a connection that keeps the messages it receives."""
+
+    def __init__(
+        self, sock: socket.socket, framing: Framing, received: queue.SimpleQueue[dict[str, Any]]
+    ) -> None:
+        self.sock, self.received = sock, received
+        self.closed, self.opened, self.may_read = threading.Event(), threading.Event(), threading.Event()
+        self.may_read.set()
         self.connection = Connection(
             sock,
             framing,
@@ -55,34 +57,34 @@
 
     def _closed(self) -> None:
         self.closed.set()
-        self.opened.set()  # for a front that is full may close before it has opened
+        self.opened.set()  # a full listener may close before the connection has opened
 
     def _message(self, line: bytes) -> None:
-        self.got.put(json.loads(line))
-        self.awake.wait(PATIENCE_S)
+        self.received.put(json.loads(line))
+        self.may_read.wait(PATIENCE_S)
 
-    def say(self, kind: str, call_id: str, **more: Any) -> None:
-        assert self.connection.post(json.dumps({"type": kind, "id": call_id, "fields": {}} | more).encode())
+    def send(self, kind: str, call_id: str, **more: Any) -> None:
+        assert self.connection.send(json.dumps({"type": kind, "id": call_id, "fields": {}} | more).encode())
 
-    def hear(self) -> dict[str, Any]:
-        return self.got.get(timeout=PATIENCE_S)
+    def receive(self) -> dict[str, Any]:
+        return self.received.get(timeout=PATIENCE_S)
 
     def set_up(self, call_id: str, left_ms: int = 9000, **fields: Any) -> None:
         fields = {"class": "slot-confirm", "left": str(left_ms), "key": "k", "extras": "dest:0"} | fields
-        self.say("setup", call_id, fields=fields, sdp=f"sdp of {call_id}\r\n")
+        self.send("setup", call_id, fields=fields, sdp=f"sdp of {call_id}\r\n")
 
-    def leave(self) -> None:
-        """Go without a word."""
+    def disconnect(self) -> None:
+        """Shut down the connection without a message."""
         self.sock.shutdown(socket.SHUT_RDWR)
         assert self.closed.wait(PATIENCE_S)
 
 
 class BookingServer:
-    """Listens and keeps what it is told, over all of its connections."""
+    """Listens, and keeps the messages received on all of its connections."""
 
     def __init__(self, websocket: bool) -> None:
         self.websocket = websocket
-        self.got: queue.SimpleQueue[dict[str, Any]] = queue.SimpleQueue()
+        self.received: queue.SimpleQueue[dict[str, Any]] = queue.SimpleQueue()
         self.peers: queue.SimpleQueue[Peer] = queue.SimpleQueue()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.endpoint = f"{'ws://' if websocket else ''}127.0.0.1:{self.listener.getsockname()[1]}"
@@ -94,17 +96,17 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            self.peers.put(Peer(sock, WebSocket() if self.websocket else Lines(), self.got))
+            self.peers.put(Peer(sock, WebSocket() if self.websocket else Lines(), self.received))
 
     def peer(self) -> Peer:
         return self.peers.get(timeout=PATIENCE_S)
 
-    def hear(self) -> dict[str, Any]:
-        return self.got.get(timeout=PATIENCE_S)
+    def receive(self) -> dict[str, Any]:
+        return self.received.get(timeout=PATIENCE_S)
 
 
-class Stage:
-    """A node with both fronts and booking servers, on a clock that the test advances."""
+class NodeHarness:
+    """A node with both listeners, and booking servers, on a clock that the test advances."""
 
     def __init__(self, websocket: bool, servers: int = 2, **changes: Any) -> None:
         self.websocket = websocket
@@ -120,7 +122,7 @@
         pool = {"rev": 1, "all": True, "targets": targets}
         table["known"] = {"rev": 1, "notices": [{"rev": 1, "pool": pool}]}
         self.node = Node(configuration.read(table, {}), self.clock)
-        self.attempts: list[tuple[float, str, str, float]] = []  # when, call, server, time left
+        self.attempts: list[tuple[float, str, str, float]] = []  # time, call, server, time left
         self.planner = self.node.planners[0]
         links = self.planner.servers
         send: Callable[[str, int, m.SetUp, float, m.WriteGate], None] = links.set_up
@@ -133,13 +135,13 @@
         self.node.start()
         self.settle()
         for server in self.planner._server_states:
-            links.connect(server)  # else each is opened some time later, spread over a fleet's proxies
+            links.connect(server)  # otherwise links open after a random delay
         self.links = [server.peer() for server in self.servers]
         self.until(lambda: all(known.epoch is not None for known in self.planner._server_states.values()))
         self._epochs = {known.id: known.epoch for known in self.planner._server_states.values()}
 
-    def again(self, number: int, name: str = "") -> Peer:
-        """The next connection to that server, now and not when its pause is over; the planner knows it."""
+    def reconnect(self, number: int, name: str = "") -> Peer:
+        """Reconnect to that server without backoff, and wait until the planner has seen the connection."""
         name = name or f"s{number}"
         self.settle()
         self.planner.servers.connect(name)
@@ -158,7 +160,7 @@
         return Peer(sock, framing, queue.SimpleQueue())
 
     def settle(self) -> None:
-        """Let the planner deal with all that has reached it."""
+        """Wait until the planner has handled all events put so far."""
         done = threading.Event()
         self.planner.inbox.put(m.InboxBarrier(done.set))
         assert done.wait(PATIENCE_S)
--- a/tests/test_caller_states.py
+++ b/tests/test_caller_states.py
@@ -17,12 +17,12 @@
 from capershelf.core.clock import ManualClock, SystemClock
 from capershelf.fronts import session as session_module
 from capershelf.fronts.listener import Listener
-from capershelf.net.framing import Lines, OverError
-from capershelf.net.vocabulary import Terms
+from capershelf.net.framing import CloseConnectionError, Lines
+from capershelf.net.vocabulary import SetUpLimits
 from tests.peers import PATIENCE_S
 from tests.rig import settings
 
-TERMS = Terms.of(settings(max_retry_after_ms=2000.0))
+TERMS = SetUpLimits.from_settings(settings(max_retry_after_ms=2000.0))
 FIELDS = {"class": "usual", "left": "900", "key": "k", "extras": "dest:0;width:1;via:-1"}
 UNUSABLE: list[dict[str, Any]] = [
     {"class": None},
@@ -96,7 +96,7 @@
         context.on_session_ended = lambda session: None
         self.near, self.far = socket.socketpair()
         self.session = session_module.Session(self.near, Lines(), "127.0.0.1:1", context)
-        self.session.connection.post = self.post  # type: ignore[method-assign]
+        self.session.connection.send = self.post  # type: ignore[method-assign]
         self.pending, self.established, self.unusable, self.count, self.closed = set[str](), 0, 0, 0, False
 
     def teardown(self) -> None:
@@ -118,11 +118,11 @@
         return 1
 
     def send(self, line: bytes) -> None:
-        """Pass a line to the session; like the connection, handle a violation and close after OverError."""
+        """Pass a line to the session; like the connection, handle a violation and close after the error."""
         try:
             self.session._on_message(line)
-        except OverError as error:
-            assert error.foul
+        except CloseConnectionError as error:
+            assert error.invalid_message
             self.session._on_violation(str(error))
             self.closed = True
             assert not self.pending, "a call without its outcome"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 from capershelf.core.planner import LATE_ANSWER_MS, DISCONNECT_GRACE_MS, Planner
 from capershelf.net.connection import Connection
 from capershelf.net.framing import Lines
-from tests.peers import PATIENCE_S, Peer, Stage, until
+from tests.peers import PATIENCE_S, NodeHarness, Peer, until
 from tests.rig import listed, settings
 from tests.test_planner_states import FakeCaller, FakeServers
 from tests.test_stopping import (
@@ -57,10 +57,10 @@
     connection, far, queued = blocked_connection()
     closed, open_, closed_later = FakeGate(False), FakeGate(), FakeGate()
     for name, gate in (("closed", closed), ("open", open_), ("closed_later", closed_later)):
-        assert connection.post(name.encode(), name, gate)
+        assert connection.send(name.encode(), name, gate)
     assert closed.checks == open_.checks == closed_later.checks == 0, "checked before it can be written"
     closed_later.is_open = False  # as if its caller left while it is in the write queue
-    connection.finish()
+    connection.close_after_flush()
     assert received_lines(far) == [*queued, "open", ""]
     assert (closed.drops, open_.drops, closed_later.drops) == (1, 0, 1)
     assert open_.checks == 1, "a message that has begun is not checked again"
@@ -69,11 +69,11 @@
 def test_a_partly_written_message_is_not_dropped_by_its_gate() -> None:
     connection, far, queued = blocked_connection()
     gate = FakeGate()
-    assert connection.post(b"y" * 40_000, "a", gate)
+    assert connection.send(b"y" * 40_000, "a", gate)
     read_until_partly_written(connection, far)
     gate.is_open = False  # dropping the rest would corrupt the stream
-    assert connection.post(b"next")
-    connection.finish()
+    assert connection.send(b"next")
+    connection.close_after_flush()
     assert received_lines(far)[-2:] == ["next", ""]
     assert gate.drops == 0
 
@@ -83,9 +83,9 @@
     connection = Connection(near, Lines(), lambda line: None, lambda: None, "x", SystemClock(), math.inf)
     connection.start()
     gate = FakeGate(False)
-    assert connection.post(b"no", "a", gate)
-    assert connection.post(b"yes")
-    connection.finish()
+    assert connection.send(b"no", "a", gate)
+    assert connection.send(b"yes")
+    connection.close_after_flush()
     assert received_lines(far) == ["yes", ""] and gate.drops == 1
 
 
@@ -176,14 +176,14 @@
 
 
 @pytest.fixture(params=[False, True], ids=["closes", "gives up"])
-def make_caller_leave(request: pytest.FixtureRequest) -> Callable[[Peer, Stage], None]:
+def make_caller_leave(request: pytest.FixtureRequest) -> Callable[[Peer, NodeHarness], None]:
     """Makes a caller leave; returns once its session has read that, while the planner is blocked."""
     gives_up: bool = request.param
 
-    def leave(caller: Peer, stage: Stage) -> None:
-        (session,) = stage.node.fronts[0]._sessions
+    def leave(caller: Peer, harness: NodeHarness) -> None:
+        (session,) = harness.node.fronts[0]._sessions
         if gives_up:
-            caller.say("release", A, cause=16)
+            caller.send("release", A, cause=16)
         else:
             caller.sock.shutdown(socket.SHUT_RDWR)
         until(lambda: not session.is_waiting(A))
@@ -207,15 +207,15 @@
         self._resume.set()
 
 
-def received_set_ups(stage: Stage) -> list[str]:
+def received_set_ups(harness: NodeHarness) -> list[str]:
     """Call ids of the set-ups received by the booking servers, after they have read everything written."""
-    stage.settle()
+    harness.settle()
     found = []
-    for number, server in enumerate(stage.servers):
-        stage.planner.servers.probe(
-            f"s{number}", stage.planner._server_states[f"s{number}"].epoch or 0, "f" * 16
+    for number, server in enumerate(harness.servers):
+        harness.planner.servers.probe(
+            f"s{number}", harness.planner._server_states[f"s{number}"].epoch or 0, "f" * 16
         )
-        while (got := server.hear())["id"] != "f" * 16:
+        while (got := server.receive())["id"] != "f" * 16:
             if got["type"] == "setup":
                 found.append(got["id"])
     return found
@@ -223,19 +223,19 @@
 
 @pytest.mark.parametrize("where", ["inbox", "room", "release"])
 def test_no_attempt_begins_once_the_caller_has_left(
-    where: str, make_caller_leave: Callable[[Peer, Stage], None]
+    where: str, make_caller_leave: Callable[[Peer, NodeHarness], None]
 ) -> None:
     """The session has read that the caller left, but the event is queued behind a busy planner."""
-    stage = Stage(False)
+    harness = NodeHarness(False)
     try:
-        caller = stage.caller()
+        caller = harness.caller()
         if where == "inbox":  # its set-up is in the inbox
-            blocked = BlockedPlanner(stage.planner)
+            blocked = BlockedPlanner(harness.planner)
             caller.set_up(A)
-            until(lambda: stage.node.houses[0].pending_set_ups == 1)
+            until(lambda: harness.node.houses[0].pending_set_ups == 1)
         elif where == "room":  # both servers are draining, so the controller holds it
-            for server in stage.planner._server_states.values():
-                stage.planner.submit_update(
+            for server in harness.planner._server_states.values():
+                harness.planner.submit_update(
                     model.ServerListUpdate(
                         9,
                         False,
@@ -247,101 +247,104 @@
                         ),
                     )
                 )
-            stage.settle()
+            harness.settle()
             caller.set_up(A)
-            stage.until(lambda: bool(stage.planner._controller.held))
-            blocked = BlockedPlanner(stage.planner)
+            harness.until(lambda: bool(harness.planner._controller.held))
+            blocked = BlockedPlanner(harness.planner)
         else:  # it was reset and waits for its release gap
             caller.set_up(A)
-            assert stage.servers[0].hear()["type"] == "setup"
-            stage.links[0].say("release", A, cause=41)
-            stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].attempt is None)
-            blocked = BlockedPlanner(stage.planner)
-        make_caller_leave(caller, stage)
+            assert harness.servers[0].receive()["type"] == "setup"
+            harness.links[0].send("release", A, cause=41)
+            harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].attempt is None)
+            blocked = BlockedPlanner(harness.planner)
+        make_caller_leave(caller, harness)
         if where == "room":  # capacity returns now: list updates bypass the inbox
             for number in range(2):
-                server = stage.planner._server_states[f"s{number}"]
-                stage.planner.submit_update(
+                server = harness.planner._server_states[f"s{number}"]
+                harness.planner.submit_update(
                     model.ServerListUpdate(
                         10 + number, False, (model.LocatedServer(listed(server.id, number), server.endpoint),)
                     )
                 )
         elif where == "release":
-            stage.clock.advance(RELEASE_MS + 30.0)
+            harness.clock.advance(RELEASE_MS + 30.0)
         blocked.unblock()
-        stage.advance(500)
+        harness.advance(500)
         if where == "room":  # the links were disconnected
-            assert not stage.attempts
+            assert not harness.attempts
         else:
-            assert received_set_ups(stage) == []
-        assert int(A, 16) not in stage.planner.calls.by_key and stage.planner.calls.open_count == 0
+            assert received_set_ups(harness) == []
+        assert int(A, 16) not in harness.planner.calls.by_key and harness.planner.calls.open_count == 0
     finally:
-        stage.end()
+        harness.end()
 
 
 def test_no_attempt_begins_if_the_caller_left_while_the_server_was_connecting(
-    make_caller_leave: Callable[[Peer, Stage], None],
+    make_caller_leave: Callable[[Peer, NodeHarness], None],
 ) -> None:
-    stage = Stage(False)
+    harness = NodeHarness(False)
     try:
-        for link in stage.links:
-            link.leave()
-        stage.until(lambda: all(known.epoch is None for known in stage.planner._server_states.values()))
-        links = stage.planner.servers
+        for link in harness.links:
+            link.disconnect()
+        harness.until(lambda: all(known.epoch is None for known in harness.planner._server_states.values()))
+        links = harness.planner.servers
         connect, links.connect = links.connect, lambda server: ""  # type: ignore[method-assign]
-        caller = stage.caller()
+        caller = harness.caller()
         caller.set_up(A)
-        stage.until(
+        harness.until(
             lambda: (
-                (call := stage.planner.calls.by_key.get(int(A, 16))) is not None and call.attempt is not None
+                (call := harness.planner.calls.by_key.get(int(A, 16))) is not None
+                and call.attempt is not None
             )
         )
-        blocked = BlockedPlanner(stage.planner)
-        make_caller_leave(caller, stage)
+        blocked = BlockedPlanner(harness.planner)
+        make_caller_leave(caller, harness)
         links.connect = connect  # type: ignore[method-assign]
         for number in range(2):  # the events for these connections are queued behind the caller's
             links.connect(f"s{number}")
-            stage.servers[number].peer()
+            harness.servers[number].peer()
         blocked.unblock()
-        stage.until(lambda: all(known.epoch is not None for known in stage.planner._server_states.values()))
-        assert received_set_ups(stage) == [] and not stage.attempts
-        assert int(A, 16) not in stage.planner.calls.by_key
+        harness.until(
+            lambda: all(known.epoch is not None for known in harness.planner._server_states.values())
+        )
+        assert received_set_ups(harness) == [] and not harness.attempts
+        assert int(A, 16) not in harness.planner.calls.by_key
     finally:
-        stage.end()
+        harness.end()
 
 
 def test_an_established_call_outlives_its_callers_connection() -> None:
-    stage = Stage(False)
+    harness = NodeHarness(False)
     try:
-        caller = stage.caller()
+        caller = harness.caller()
         caller.set_up(A)
-        assert stage.servers[0].hear()["type"] == "setup"
-        stage.links[0].say("answer", A, sdp="v=0")
-        assert caller.hear()["type"] == "answer"
-        caller.leave()
-        stage.until(lambda: stage.planner.calls.by_key[int(A, 16)].lost_caller_host != "")
-        other = stage.caller()
-        other.say("release", A, cause=16)
-        assert stage.servers[0].hear()["type"] == "release"
+        assert harness.servers[0].receive()["type"] == "setup"
+        harness.links[0].send("answer", A, sdp="v=0")
+        assert caller.receive()["type"] == "answer"
+        caller.disconnect()
+        harness.until(lambda: harness.planner.calls.by_key[int(A, 16)].lost_caller_host != "")
+        other = harness.caller()
+        other.send("release", A, cause=16)
+        assert harness.servers[0].receive()["type"] == "release"
     finally:
-        stage.end()
+        harness.end()
 
 
 def test_a_call_released_on_another_connection_before_the_planner_sees_it_is_not_sent() -> None:
-    stage = Stage(False)
+    harness = NodeHarness(False)
     try:
-        caller, other = stage.caller(), stage.caller()
-        blocked = BlockedPlanner(stage.planner)
+        caller, other = harness.caller(), harness.caller()
+        blocked = BlockedPlanner(harness.planner)
         caller.set_up(A)
-        until(lambda: stage.node.houses[0].pending_set_ups == 1)
-        (session,) = [s for s in stage.node.fronts[0]._sessions if s._open]
-        other.say("release", A, cause=16)
+        until(lambda: harness.node.houses[0].pending_set_ups == 1)
+        (session,) = [s for s in harness.node.fronts[0]._sessions if s._open]
+        other.send("release", A, cause=16)
         until(lambda: not session.is_waiting(A))
         blocked.unblock()
-        stage.settle()
-        assert received_set_ups(stage) == []
+        harness.settle()
+        assert received_set_ups(harness) == []
     finally:
-        stage.end()
+        harness.end()
 
 
 def test_an_answer_to_a_set_up_still_in_the_write_queue_belongs_to_an_earlier_attempt() -> None:
--- a/tests/test_framing_states.py
+++ b/tests/test_framing_states.py
@@ -1,4 +1,4 @@
-"""A model of both framings: random messages in random pieces, and one breach with the code it must get."""
+"""Both framings with random messages split at random, and each protocol violation with its close code."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from hypothesis import settings as hypothesis_settings
 
 from capershelf.net import websocket as ws
-from capershelf.net.buffers import MESSAGE_BYTES, POOL
-from capershelf.net.framing import Framing, Lines, OverError, Reply
+from capershelf.net.buffers import MAX_MESSAGE_BYTES, POOL
+from capershelf.net.framing import CloseConnectionError, Framing, Lines, Reply
 
 STEADY = hypothesis_settings(derandomize=True, deadline=None, max_examples=80, database=None)
-TEXTS = st.text(max_size=40) | st.sampled_from(["x" * 125, "y" * 126, "é" * 400, "z" * MESSAGE_BYTES])
-BREACHES: dict[str, tuple[Callable[[bytes], bytes], int]] = {
-    # What a peer sends against the rules, given its mask, and the close code.
+TEXTS = st.text(max_size=40) | st.sampled_from(["x" * 125, "y" * 126, "é" * 400, "z" * MAX_MESSAGE_BYTES])
+VIOLATIONS: dict[str, tuple[Callable[[bytes], bytes], int]] = {
+    # What a peer sends in violation of the protocol, given its mask, and the resulting close code.
     "reserved bit": (
         lambda k: bytes([ws.build_frame(ws.TEXT, b"a", k)[0] | 0x40]) + ws.build_frame(ws.TEXT, b"a", k)[1:],
         1002,
@@ -29,10 +29,11 @@
         lambda k: ws.build_frame(ws.TEXT, b"\xc3", k, False) + ws.build_frame(ws.CONTINUATION, b"a", k),
         1007,
     ),
-    "too big": (lambda k: ws.build_frame(ws.TEXT, b"a" * (MESSAGE_BYTES + 1), k), 1009),
+    "too big": (lambda k: ws.build_frame(ws.TEXT, b"a" * (MAX_MESSAGE_BYTES + 1), k), 1009),
     "too big in fragments": (
         lambda k: (
-            ws.build_frame(ws.TEXT, b"a" * MESSAGE_BYTES, k, False) + ws.build_frame(ws.CONTINUATION, b"a", k)
+            ws.build_frame(ws.TEXT, b"a" * MAX_MESSAGE_BYTES, k, False)
+            + ws.build_frame(ws.CONTINUATION, b"a", k)
         ),
         1009,
     ),
@@ -62,43 +63,43 @@
 
 
 def feed(framing: Framing, data: bytes) -> tuple[list[bytes], list[bytes]]:
-    """Messages and replies, whatever size of bites the buffer leaves."""
+    """Feed data in chunks that fit the read buffer; returns the messages and replies."""
     messages: list[bytes] = []
     replies: list[bytes] = []
     while data:
-        space = framing.space()
+        space = framing.read_buffer()
         assert len(space), "no room to read into"
-        bite = data[: len(space)]
-        space[: len(bite)] = bite
-        data = data[len(bite) :]
-        for found in framing.filled(len(bite)):
+        chunk = data[: len(space)]
+        space[: len(chunk)] = chunk
+        data = data[len(chunk) :]
+        for found in framing.parse(len(chunk)):
             (replies if isinstance(found, Reply) else messages).append(bytes(found))
     return messages, replies
 
 
 def pair() -> tuple[ws.WebSocket, ws.WebSocket]:
-    """Client and server after their handshake."""
+    """A client and a server with a completed handshake."""
     client, server = ws.WebSocket("127.0.0.1:1"), ws.WebSocket()
-    _, [answer] = feed(server, client.opening())
+    _, [answer] = feed(server, client.handshake_data())
     assert feed(client, answer) == ([], [])
     assert client.opened
     assert server.opened
     return client, server
 
 
-# Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
+# Explicit, as hypothesis otherwise derives the seed from the test's source text, which a rename changes.
 @seed(0x678D0246173C279F58EEF7D3AF83EC02155CCA8FEF57941B1E501AD3B10BE36683BEC501C69A39375E9C42243611FA2B)
 @STEADY
 @given(
     st.booleans(),
     st.lists(st.tuples(TEXTS, st.integers(0, 30), st.booleans()), max_size=6),
     st.lists(st.integers(1, 5000), max_size=8),
-    st.sampled_from(sorted(BREACHES)),
+    st.sampled_from(sorted(VIOLATIONS)),
 )
-def test_messages_arrive_whole_and_a_breach_gets_its_code(
-    to_server: bool, sent: list[tuple[str, int, bool]], cuts: list[int], breach: str
+def test_messages_arrive_complete_and_a_violation_gets_its_close_code(
+    to_server: bool, sent: list[tuple[str, int, bool]], cuts: list[int], violation: str
 ) -> None:
-    taken = POOL.out
+    taken = POOL.in_use
     client, server = pair()
     near, far, mask = (client, server, b"mask") if to_server else (server, client, b"")
     data, pings = b"", 0
@@ -118,16 +119,16 @@
         pings -= len(replies)
     assert heard == [text.encode() for text, _, _ in sent]
     assert pings == 0
-    make, code = BREACHES[breach]
-    with pytest.raises(OverError) as over:
+    make, code = VIOLATIONS[violation]
+    with pytest.raises(CloseConnectionError) as over:
         feed(far, make(mask))
-    with pytest.raises(OverError, match=f"closed with {code}"):
-        feed(near, over.value.farewell)
-    assert far.farewell(1000, "") == b"", "a second close frame"
-    near.done()
-    far.done()
-    far.done()
-    assert POOL.out == taken, "a buffer was not given back, or twice"
+    with pytest.raises(CloseConnectionError, match=f"closed with {code}"):
+        feed(near, over.value.final_data)
+    assert far.close_frame(1000, "") == b"", "a second close frame"
+    near.release_buffers()
+    far.release_buffers()
+    far.release_buffers()
+    assert POOL.in_use == taken, "a buffer was not released, or released twice"
 
 
 @seed(0xA2E6398B845B14CDC24CDDA5FEBD2ED9A749935FCF33382FF542ED12EB9149E245BC14ADEFF1F936CDF4FF5327C1A79F)
@@ -138,11 +139,11 @@
     st.integers(1, 3),
     st.lists(st.integers(1, 20000), max_size=8),
 )
-def test_lines_arrive_whole_and_one_too_long_ends_the_connection(
+def test_lines_arrive_complete_and_an_oversized_one_closes_the_connection(
     texts: list[str], at: int, times: int, cuts: list[int]
 ) -> None:
     lines = Lines()
-    long = b"l" * (MESSAGE_BYTES * times + 1)
+    oversized = b"l" * (MAX_MESSAGE_BYTES * times + 1)
     sent = [text.encode() for text in texts]
     heard = [
         message
@@ -150,12 +151,12 @@
         for message in feed(lines, piece)[0]
     ]
     assert heard == [line for line in sent[:at] if line.strip()]
-    assert not lines.half
-    with pytest.raises(OverError) as over:
-        for piece in pieces(lines.frame(long) + b"".join(map(lines.frame, sent[at:])), cuts):
+    assert not lines.has_partial_message
+    with pytest.raises(CloseConnectionError) as over:
+        for piece in pieces(lines.frame(oversized) + b"".join(map(lines.frame, sent[at:])), cuts):
             assert feed(lines, piece) == ([], [])
-    assert over.value.foul
-    lines.done()
+    assert over.value.invalid_message
+    lines.release_buffers()
 
 
 @pytest.mark.parametrize(
@@ -170,31 +171,31 @@
         (("Host", "H" * 17000), b"431"),
     ],
 )
-def test_a_bad_handshake_gets_its_status(change: tuple[str, str], status: bytes) -> None:
+def test_an_invalid_handshake_gets_its_http_status(change: tuple[str, str], status: bytes) -> None:
     server = ws.WebSocket()
-    with pytest.raises(OverError) as over:
-        feed(server, ws.WebSocket("h").opening().decode().replace(*change).encode())
-    assert over.value.farewell.split(b" ")[1] == status
+    with pytest.raises(CloseConnectionError) as over:
+        feed(server, ws.WebSocket("h").handshake_data().decode().replace(*change).encode())
+    assert over.value.final_data.split(b" ")[1] == status
     assert not server.opened
 
 
-def test_the_accept_key_is_that_of_the_rfc_and_a_wrong_one_is_not_taken() -> None:
+def test_the_accept_key_matches_the_rfc_and_a_wrong_one_is_rejected() -> None:
     assert ws.accept_key("dGhlIHNhbXBsZSBub25jZQ==") == "s3pPLMBiTxaQ9kYGzzhZRbK+xOo="
     client, server = ws.WebSocket("h"), ws.WebSocket()
-    _, [answer] = feed(server, ws.WebSocket("h").opening())
-    with pytest.raises(OverError):
+    _, [answer] = feed(server, ws.WebSocket("h").handshake_data())
+    with pytest.raises(CloseConnectionError):
         feed(client, answer)
     assert not client.opened
 
 
-def test_a_full_front_says_so_after_the_handshake() -> None:
+def test_a_full_server_closes_with_try_again_later_after_the_handshake() -> None:
     client, server = ws.WebSocket("h"), ws.WebSocket(full=True)
-    space = server.space()
-    opening = client.opening()
+    space = server.read_buffer()
+    opening = client.handshake_data()
     space[: len(opening)] = opening
-    answers = server.filled(len(opening))
+    answers = server.parse(len(opening))
     feed(client, next(answers))
-    with pytest.raises(OverError) as over:
+    with pytest.raises(CloseConnectionError) as over:
         next(answers)
-    with pytest.raises(OverError, match="1013"):
-        feed(client, over.value.farewell)
+    with pytest.raises(CloseConnectionError, match="1013"):
+        feed(client, over.value.final_data)
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -16,7 +16,7 @@
 from capershelf.fronts.session import MIN_REMAINING_MS
 from capershelf.node import Node
 from capershelf.registry.board import FRESH_MS
-from tests.peers import OPERATOR, Peer, Stage
+from tests.peers import OPERATOR, NodeHarness, Peer
 
 A, B = (f"{n:016x}" for n in range(0xA0, 0xA2))
 PAUSE_MS = 3000.0
@@ -67,39 +67,41 @@
 
 
 @pytest.fixture(params=[False, True], ids=["lines", "websocket"])
-def stage(request: pytest.FixtureRequest) -> Iterator[Stage]:
-    made = Stage(request.param)
+def harness(request: pytest.FixtureRequest) -> Iterator[NodeHarness]:
+    made = NodeHarness(request.param)
     yield made
     made.end()
 
 
-def attempt_time_ms(stage: Stage, caller: Peer, call: str, left_ms: int) -> float:
+def attempt_time_ms(harness: NodeHarness, caller: Peer, call: str, left_ms: int) -> float:
     """Time limit of the attempt that results from a new set-up."""
-    sent = len(stage.attempts)
+    sent = len(harness.attempts)
     caller.set_up(call, left_ms=left_ms)
-    stage.until(lambda: len(stage.attempts) > sent)
-    return stage.attempts[sent][3]
+    harness.until(lambda: len(harness.attempts) > sent)
+    return harness.attempts[sent][3]
 
 
-def test_a_set_up_unread_during_a_pause_is_answered_before_its_caller_may_have_left(stage: Stage) -> None:
+def test_a_set_up_unread_during_a_pause_is_answered_before_its_caller_may_have_left(
+    harness: NodeHarness,
+) -> None:
     """Sent as the pause began, it has 3 s less left than it states; the booking server never answers."""
-    caller = stage.caller()
-    now_ms = stage.clock.now_ms()
-    stage.clock.last_pause = ProcessPause(now_ms - PAUSE_MS, now_ms)
-    assert attempt_time_ms(stage, caller, A, 4000) <= 4000.0 - PAUSE_MS
-    assert attempt_time_ms(stage, caller, B, 2250) <= MIN_REMAINING_MS
-    stage.advance(MIN_REMAINING_MS)
-    assert caller.hear()["id"] == B
-    stage.advance(4000.0 - PAUSE_MS - MIN_REMAINING_MS)
-    assert caller.hear()["id"] == A
-
-
-def test_a_set_up_has_its_full_time_after_the_backlog_period(stage: Stage) -> None:
-    caller = stage.caller()
-    now_ms = stage.clock.now_ms()
-    stage.clock.last_pause = ProcessPause(now_ms - PAUSE_MS, now_ms)
-    stage.advance(PAUSE_BACKLOG_MS + 5.0)
-    assert attempt_time_ms(stage, caller, A, 4000) > 4000.0 - PAUSE_MS
+    caller = harness.caller()
+    now_ms = harness.clock.now_ms()
+    harness.clock.last_pause = ProcessPause(now_ms - PAUSE_MS, now_ms)
+    assert attempt_time_ms(harness, caller, A, 4000) <= 4000.0 - PAUSE_MS
+    assert attempt_time_ms(harness, caller, B, 2250) <= MIN_REMAINING_MS
+    harness.advance(MIN_REMAINING_MS)
+    assert caller.receive()["id"] == B
+    harness.advance(4000.0 - PAUSE_MS - MIN_REMAINING_MS)
+    assert caller.receive()["id"] == A
+
+
+def test_a_set_up_has_its_full_time_after_the_backlog_period(harness: NodeHarness) -> None:
+    caller = harness.caller()
+    now_ms = harness.clock.now_ms()
+    harness.clock.last_pause = ProcessPause(now_ms - PAUSE_MS, now_ms)
+    harness.advance(PAUSE_BACKLOG_MS + 5.0)
+    assert attempt_time_ms(harness, caller, A, 4000) > 4000.0 - PAUSE_MS
 
 
 class RecordingClock(clocks.ManualClock):
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -22,7 +22,7 @@
 from capershelf.net.addresses import parse_endpoint
 from capershelf.net.connection import Connection, start_thread
 from capershelf.net.framing import Lines
-from capershelf.net.vocabulary import Terms
+from capershelf.net.vocabulary import SetUpLimits
 from tests.peers import PATIENCE_S, BookingServer, Peer, until
 from tests.rig import listed, settings
 from tests.test_planner_states import FakeCaller, FakeServers
@@ -124,7 +124,12 @@
     def __init__(self) -> None:
         self.put = queue.SimpleQueue[model.Event]()
         self.house = FrontContext(
-            SystemClock(), Terms.of(SETTINGS), lambda call: self.put.put, self.every, lambda: True, False
+            SystemClock(),
+            SetUpLimits.from_settings(SETTINGS),
+            lambda call: self.put.put,
+            self.every,
+            lambda: True,
+            False,
         )
         self.listener = Listener("127.0.0.1:0", lambda full: Lines(), 10, self.house)
 
@@ -138,7 +143,7 @@
 
     def set_up(self, caller: Peer, call: str) -> None:
         fields = {"class": "usual", "left": "5000"}
-        caller.say("setup", call, fields=fields, sdp="v=0")
+        caller.send("setup", call, fields=fields, sdp="v=0")
 
 
 def test_a_connection_accepted_only_by_the_kernel_is_still_answered() -> None:
@@ -148,7 +153,7 @@
     rig.house.close()
     rig.listener.stop_accepting()
     rig.listener.close_all(rig.house.clock.now_ms() + 1000.0 * PATIENCE_S)
-    assert caller.hear() == {"type": "release", "id": "00000000000000a1", "fields": {}, "cause": 34}
+    assert caller.receive() == {"type": "release", "id": "00000000000000a1", "fields": {}, "cause": 34}
     assert caller.closed.wait(PATIENCE_S)
 
 
@@ -174,7 +179,7 @@
     until(lambda: rig.listener._closing)
     assert closing.is_alive(), "the accepting thread is still admitting a caller"
     resume.set()
-    assert caller.hear() == {"type": "release", "id": "00000000000000a1", "fields": {}, "cause": 34}
+    assert caller.receive() == {"type": "release", "id": "00000000000000a1", "fields": {}, "cause": 34}
     assert caller.closed.wait(PATIENCE_S)
 
 
@@ -188,7 +193,7 @@
     rig.house.close()
     assert rig.house.pending_set_ups == 1
     rig.set_up(caller, "00000000000000a2")
-    assert caller.hear()["id"] == "00000000000000a2"
+    assert caller.receive()["id"] == "00000000000000a2"
     event.caller.notify(model.Refused(event.request.id))
     assert isinstance(rig.put.get(timeout=PATIENCE_S), model.InboxBarrier), (
         "the planner waiting for the outcome is woken"
@@ -205,9 +210,9 @@
     connection = Connection(near, Lines(), lambda line: None, lambda: None, "slow", SystemClock(), math.inf)
     connection.start()
     queued: list[str] = []
-    while connection.written():
+    while connection.is_flushed():
         queued.append(json.dumps({"number": len(queued), "filling": "x" * 3000}))
-        assert connection.post(queued[-1].encode())
+        assert connection.send(queued[-1].encode())
     return connection, far, queued
 
 
@@ -221,12 +226,12 @@
 def test_a_queued_set_up_can_be_withdrawn_until_its_first_byte_is_written() -> None:
     connection, far, queued = blocked_connection()
     for tag in ("a", "b", "c"):
-        assert connection.post(tag.encode(), tag)
+        assert connection.send(tag.encode(), tag)
     assert connection.withdraw("b") == {"b"}
     assert connection.withdraw() == {"a", "c"}
     assert connection.withdraw() == set()
-    assert connection.post(b"last")
-    connection.finish()
+    assert connection.send(b"last")
+    connection.close_after_flush()
     assert received_lines(far) == [*queued, "last", ""]
 
 
@@ -234,7 +239,7 @@
     """Read on the far side until the message of 40,001 bytes under the tag "a" is partly written."""
 
     def begun() -> bool:
-        data, tag, _ = connection._outbox[0]
+        data, tag, _ = connection._write_queue[0]
         if tag == "a" and len(data) < 40_001:
             return True
         far.recv(1024)
@@ -245,7 +250,7 @@
 
 def test_a_partly_written_message_is_aborted_only_when_withdrawn_by_name() -> None:
     connection, far, _ = blocked_connection()
-    assert connection.post(b"y" * 40_000, "a")
+    assert connection.send(b"y" * 40_000, "a")
     read_until_partly_written(connection, far)
     assert connection.withdraw() == set(), "its first byte is written: it may arrive"
     assert connection.withdraw("a") == set()
@@ -254,8 +259,8 @@
 
 def test_messages_queued_for_a_slow_reader_are_written_before_the_connection_closes() -> None:
     connection, far, queued = blocked_connection()
-    connection.finish()
-    assert not connection.post(b"too late")
+    connection.close_after_flush()
+    assert not connection.send(b"too late")
     assert received_lines(far) == [*queued, ""]
 
 
@@ -373,32 +378,32 @@
             for number, name in enumerate(("established", "out", "reset", "connects", "late"), 0xA0)
         }
         caller.set_up(calls["established"], extras="dest:1")
-        assert resets.hear()["type"] == "setup"
-        links[1].say("answer", calls["established"], sdp="v=0")
-        assert caller.hear()["type"] == "answer"
+        assert resets.receive()["type"] == "setup"
+        links[1].send("answer", calls["established"], sdp="v=0")
+        assert caller.receive()["type"] == "answer"
 
         def reset() -> None:
             while True:
-                if (got := resets.got.get())["type"] == "setup":
-                    links[1].say("release", got["id"], cause=41)
+                if (got := resets.received.get())["type"] == "setup":
+                    links[1].send("release", got["id"], cause=41)
 
         threading.Thread(target=reset, daemon=True).start()
         for pool, name in enumerate(("out", "reset", "connects")):
             caller.set_up(calls[name], extras=f"dest:{pool}")
-        assert silent.hear()["type"] == "setup"
+        assert silent.receive()["type"] == "setup"
         program.process.send_signal(signal.SIGTERM)
         program.says("told to stop")
         caller.set_up(calls["late"], extras="dest:1")
         outcomes: dict[str, list[str]] = {}
         while sum(map(len, outcomes.values())) < 4:
-            got = caller.hear()
+            got = caller.receive()
             outcomes.setdefault(got["id"], []).append(got["type"])
         assert outcomes == {calls[name]: ["release"] for name in ("out", "reset", "connects", "late")}
         # The end of an established call is still delivered.
-        links[1].say("release", calls["established"], cause=16)
-        assert caller.hear()["id"] == calls["established"]
+        links[1].send("release", calls["established"], cause=16)
+        assert caller.receive()["id"] == calls["established"]
         assert program.process.wait(PATIENCE_S) == 0
-        assert caller.closed.wait(PATIENCE_S) and caller.got.empty()
+        assert caller.closed.wait(PATIENCE_S) and caller.received.empty()
     finally:
         program.process.kill()
         program.process.wait()
