--- a/capershelf/fronts/session.py
+++ b/capershelf/fronts/session.py
@@ -14,7 +14,7 @@
 from capershelf.core.clock import Clock, Inbox
 from capershelf.net import vocabulary
 from capershelf.net.connection import Connection
-from capershelf.net.framing import Framing, OverError
+from capershelf.net.framing import CloseConnectionError, Framing
 
 HANDSHAKE_TIMEOUT_MS = 2000.0
 FIRST_MESSAGE_TIMEOUT_MS = 2000.0
@@ -73,7 +73,7 @@
     def __init__(
         self,
         clock: Clock,
-        terms: vocabulary.Terms,
+        terms: vocabulary.SetUpLimits,
         route: Route,
         broadcast: Callable[[model.Event], int],
         is_ready: Callable[[], bool],
@@ -161,8 +161,8 @@
             name,
             self._clock,
             self.last_activity_ms + HANDSHAKE_TIMEOUT_MS,
-            due=self._read_deadline_ms,
-            on_foul=self._on_violation,
+            read_deadline=self._read_deadline_ms,
+            on_invalid_message=self._on_violation,
         )
 
     # -- used by the planners -------------------------------------------------------------------------
@@ -181,7 +181,7 @@
             if self.calls_outlive_connection:
                 return True
             disconnected = self._disconnected
-        return not disconnected and not self.connection.hung_up()
+        return not disconnected and not self.connection.peer_has_closed()
 
     def mark_abandoned(self, call_id: str) -> None:
         """Note that the caller has abandoned the call; the planner receives its own event for that."""
@@ -202,7 +202,7 @@
                 self._answered_calls += 1
                 self._unusable_set_ups = max(0, self._unusable_set_ups - 1)
                 self._message_tokens += TOKENS_PER_ANSWER
-        return self.connection.post(vocabulary.word_bytes(message))
+        return self.connection.send(vocabulary.encode_caller_message(message))
 
     def call_ended(self, call_id: str) -> None:
         """Note that a call of this caller has ended, whether or not the caller is notified."""
@@ -228,16 +228,16 @@
 
         at_once: close without waiting for the peer to close its end, because the descriptor is needed.
         """
-        if not self.connection.quiet():
+        if not self.connection.is_idle():
             return False
         with self._lock:
             if not self.is_idle():
                 return False
             self._closing = True
-        if at_once and self.connection.written():
+        if at_once and self.connection.is_flushed():
             self.connection.close(1001, reason)
         else:
-            self.connection.finish(1001, reason)
+            self.connection.close_after_flush(1001, reason)
         return True
 
     # -- called on the connection's thread ------------------------------------------------------------
@@ -272,7 +272,7 @@
             for _ in range(self._context.broadcast(model.CallerRejected(self, lambda: acks.put(True)))):
                 acks.take(now_ms + REJECTION_TIMEOUT_MS)
         details = {"reason": reason[:100]}
-        return self.connection.post(vocabulary.encode("release", "", model.CAUSE_INVALID, fields=details))
+        return self.connection.send(vocabulary.encode("release", "", model.CAUSE_INVALID, fields=details))
 
     def _on_message(self, line: bytes) -> None:
         now_ms = self._clock.now_ms()
@@ -289,11 +289,11 @@
         if is_first:  # not earlier: a silent connection costs the planners nothing
             self._context.broadcast(model.CallerConnected(self))
         if exhausted:
-            raise OverError("too many messages to no effect", foul=True)
+            raise CloseConnectionError("too many messages to no effect", invalid_message=True)
         try:
             message = vocabulary.decode(line)
             self._handle(message, now_ms)
-        except vocabulary.UnusableError as error:
+        except vocabulary.InvalidSetUpError as error:
             WARNING_LIMITER.warn(
                 now_ms,
                 "{peer}: the set-up of call {call} is unusable: {problem}",
@@ -307,26 +307,30 @@
                 limit_exceeded = self._unusable_set_ups > MAX_UNUSABLE_SET_UPS
             self.notify(model.Failed(error.id, model.CAUSE_INVALID))
             if limit_exceeded:
-                raise OverError("too many set-ups that can't be used", foul=True) from error
-        except vocabulary.UnreadableError as error:
-            raise OverError(f"a message that can't be read: {error}", foul=True) from error
+                raise CloseConnectionError(
+                    "too many set-ups that can't be used", invalid_message=True
+                ) from error
+        except vocabulary.InvalidMessageError as error:
+            raise CloseConnectionError(
+                f"a message that can't be read: {error}", invalid_message=True
+            ) from error
 
     def _handle(self, message: dict[str, object], now_ms: float) -> None:
         kind = message["type"]
         if kind == "setup":
             self._handle_set_up(message, now_ms)
         elif kind == "release":
-            message_id = vocabulary.call_id(message)
+            message_id = vocabulary.parse_call_id(message)
             if (waiting := self._context.waiting_session(message_id)) is not None:
                 waiting.mark_abandoned(message_id)
             self._context.route(message_id)(
-                model.CallerReleased(message_id, vocabulary.cause_of(message, message_id), self)
+                model.CallerReleased(message_id, vocabulary.parse_cause(message, message_id), self)
             )
         elif kind == "ping":
             message_id = str(message.get("id", ""))[:16]
-            self.connection.post(vocabulary.encode("pong", message_id, int(self._context.is_ready())))
+            self.connection.send(vocabulary.encode("pong", message_id, int(self._context.is_ready())))
         elif kind not in ("progress", "released", "pong"):
-            raise vocabulary.UnreadableError(f"unknown type {str(kind)[:40]!r}")
+            raise vocabulary.InvalidMessageError(f"unknown type {str(kind)[:40]!r}")
 
     def _max_unread_ms(self, now_ms: float) -> float:
         """How long a set-up may have stayed unread while this process was not running.
@@ -334,16 +338,16 @@
         A set-up's remaining time counts from when it was sent, which the message does not say; subtracting
         this keeps callers from receiving an outcome after they have left.
         """
-        standstill = self._clock.standstill
-        return standstill.unread_ms(now_ms) if standstill is not None else 0.0
+        standstill = self._clock.last_pause
+        return standstill.max_unread_ms(now_ms) if standstill is not None else 0.0
 
     def _handle_set_up(self, message: dict[str, object], now_ms: float) -> None:
-        call = vocabulary.call_id(message)
+        call = vocabulary.parse_call_id(message)
         with self._lock:
             if call in self._open or call in self._established:
                 # An outcome could not be matched to one of the two.
-                raise OverError(f"two set-ups under the id {call}", foul=True)
-        request = vocabulary.set_up_of(message, now_ms, self._context.terms)
+                raise CloseConnectionError(f"two set-ups under the id {call}", invalid_message=True)
+        request = vocabulary.parse_set_up(message, now_ms, self._context.terms)
         if (unread_ms := self._max_unread_ms(now_ms)) > 0.0:
             min_expires_ms = min(request.expires_ms, now_ms + MIN_REMAINING_MS)
             request = replace(request, expires_ms=max(min_expires_ms, request.expires_ms - unread_ms))
@@ -355,6 +359,6 @@
             if accepted:
                 self._open[call] = size
         if not accepted:
-            self.notify(model.Refused(call, self._context.terms.wait_ms))
+            self.notify(model.Refused(call, self._context.terms.retry_after_ms))
         else:
             self._context.route(call)(model.SetUpReceived(request, self))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -21,8 +21,8 @@
 from capershelf.fronts.session import FrontContext
 from capershelf.net.addresses import parse_endpoint
 from capershelf.net.framing import Lines
-from capershelf.net.links import LATER_MS, Link, Repairs
-from capershelf.net.vocabulary import Terms
+from capershelf.net.links import REPLACEMENT_RETRY_MS, Link, ReplacementSlots
+from capershelf.net.vocabulary import SetUpLimits
 from capershelf.node import LEAST_LINKS, OWN_SOCKETS, callers_share, links_share
 from tests.peers import PATIENCE_S, BookingServer, Peer, until
 from tests.rig import settings
@@ -44,7 +44,12 @@
         return 1
 
     context = FrontContext(
-        SystemClock(), Terms.of(settings()), lambda call: events.put, broadcast, lambda: True, False
+        SystemClock(),
+        SetUpLimits.from_settings(settings()),
+        lambda call: events.put,
+        broadcast,
+        lambda: True,
+        False,
     )
     made = listener_module.Listener(
         "127.0.0.1:0", lambda full: None if full else Lines(), MAX_SESSIONS, context
@@ -75,7 +80,7 @@
     address = ("127.0.0.1", listener.port)
     active = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
     fields = {"class": "usual", "left": "5000"}
-    active.say("setup", "00000000000000a1", fields=fields, sdp="v=0")
+    active.send("setup", "00000000000000a1", fields=fields, sdp="v=0")
     until(lambda: listener._context.pending_set_ups == 1)
     idle = []
     for number in range(6 * MAX_SESSIONS):
@@ -85,13 +90,14 @@
         if says:  # wait until it has been read, so that no message is in flight
             until(
                 lambda: all(
-                    one.connection.half() or not one.awaiting_first_message for one in listener._sessions
+                    one.connection.has_partial_message() or not one.awaiting_first_message
+                    for one in listener._sessions
                 )
             )
         idle.append(sock)
     assert max(session_counts) <= MAX_SESSIONS, "admitted before a slot was free"
     newcomer = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
-    newcomer.say("setup", "00000000000000a2", fields=fields, sdp="v=0")
+    newcomer.send("setup", "00000000000000a2", fields=fields, sdp="v=0")
     until(lambda: listener._context.pending_set_ups == 2)
     assert not active.closed.is_set()
     for sock in idle:
@@ -111,14 +117,14 @@
         : listener_module.EVICTION_BATCH
     ]
     for session in oldest:
-        session.connection._busy = True
+        session.connection._processing = True
     newcomer = Peer(socket.create_connection(address), Lines(), queue.SimpleQueue())
-    newcomer.say("setup", "00000000000000a2", fields={"class": "usual", "left": "5000"}, sdp="v=0")
+    newcomer.send("setup", "00000000000000a2", fields={"class": "usual", "left": "5000"}, sdp="v=0")
     until(lambda: listener._context.pending_set_ups == 1 or newcomer.closed.is_set())
     assert not newcomer.closed.is_set() and listener._context.pending_set_ups == 1
     assert all(session in listener._sessions for session in oldest)
     for session in oldest:
-        session.connection._busy = False
+        session.connection._processing = False
     for sock in idle:
         sock.close()
 
@@ -152,10 +158,10 @@
         def call(caller: Peer, number: int) -> None:
             kind = config["settings"]["categories"][0]["name"]
             fields = {"class": kind, "left": "9000", "key": f"k{number}", "extras": "dest:0"}
-            caller.say("setup", f"{number:016x}", fields=fields, sdp="sdp")
-            assert server.hear()["type"] == "setup"
-            link.say("answer", f"{number:016x}", sdp="v=0")
-            assert caller.hear()["type"] == "answer"
+            caller.send("setup", f"{number:016x}", fields=fields, sdp="sdp")
+            assert server.receive()["type"] == "setup"
+            link.send("answer", f"{number:016x}", sdp="v=0")
+            assert caller.receive()["type"] == "answer"
 
         call(worker, 1)
         for number in range(3 * limit):
@@ -167,14 +173,14 @@
         call(Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue()), 3)
         board = BoardStandIn(board_port)
         assert board.poll() == "3"
-        link.leave()
+        link.disconnect()
         link = server.peer()  # the link is re-established
         call(worker, 4)
         assert max(peak, descriptors()) < limit
         assert program.process.poll() is None
         program.process.send_signal(signal.SIGTERM)
         for number in (1, 2, 3, 4):  # a call may be released on any connection
-            worker.say("release", f"{number:016x}", cause=16)
+            worker.send("release", f"{number:016x}", cause=16)
         assert program.process.wait(PATIENCE_S) == 0
     finally:
         program.process.kill()
@@ -203,7 +209,7 @@
 def session_on(near: socket.socket) -> session_module.Session:
     context = FrontContext(
         SystemClock(),
-        Terms.of(settings()),
+        SetUpLimits.from_settings(settings()),
         lambda call: lambda event: None,
         lambda event: 1,
         lambda: True,
@@ -241,27 +247,35 @@
 class NoPoller:
     """A poller that ignores every request."""
 
-    def do(self, what: Any) -> None: ...
-    def at(self, at_ms: float, what: Any) -> None: ...
-    def watch(self, sock: socket.socket, mask: int, came: Any) -> None: ...
-    def forget(self, sock: socket.socket) -> None: ...
+    def call_soon(self, what: Any) -> None: ...
+    def call_at(self, at_ms: float, what: Any) -> None: ...
+    def register(self, sock: socket.socket, mask: int, came: Any) -> None: ...
+    def unregister(self, sock: socket.socket) -> None: ...
 
 
 def test_links_that_fall_silent_together_are_replaced_a_few_at_a_time() -> None:
-    clock, repairs = ManualClock(), Repairs(2)
+    clock, replacement_slots = ManualClock(), ReplacementSlots(2)
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = "{}:{}".format(*server.getsockname())
         links = [
-            Link(f"s{n}", address, clock, 500.0, lambda event: None, NoPoller(), repairs=repairs)  # type: ignore[arg-type]
+            Link(
+                f"s{n}",
+                address,
+                clock,
+                500.0,
+                lambda event: None,
+                NoPoller(),  # type: ignore[arg-type]
+                replacement_slots=replacement_slots,
+            )
             for n in range(4)
         ]
         for link in links:
-            link._gap_ms = 500.0
-            assert link._late()
-        assert [link._dial is not None for link in links] == [True, True, False, False]
-        assert links[2]._due(math.inf) >= clock.now_ms() + LATER_MS
-        links[0]._dialled(None, ConnectionRefusedError())
-        assert links[3]._late() and links[3]._dial is not None, "a slot is free again"
+            link._heartbeat_gap_ms = 500.0
+            assert link._on_timeout()
+        assert [link._connect_attempt is not None for link in links] == [True, True, False, False]
+        assert links[2]._read_deadline(math.inf) >= clock.now_ms() + REPLACEMENT_RETRY_MS
+        links[0]._on_connect_result(None, ConnectionRefusedError())
+        assert links[3]._on_timeout() and links[3]._connect_attempt is not None, "a slot is free again"
         for link in links:
-            link._end()
-        assert repairs._left == 2
+            link._shut_down()
+        assert replacement_slots._available == 2
--- a/tests/test_stream_running.py
+++ b/tests/test_stream_running.py
@@ -265,7 +265,10 @@
     planner = proxy.node.planners[0]
     pause = threading.Event()
     for _ in range(400):  # until slots that lie wholly after the take-over have enough of them
-        planner.calls.given, planner.calls.refused = planner.calls.given + 5, planner.calls.refused + 5
+        planner.calls.outcome_count, planner.calls.rejected_count = (
+            planner.calls.outcome_count + 5,
+            planner.calls.rejected_count + 5,
+        )
         if pause.wait(0.05) or service.proxy().get("back"):
             break
     until(lambda: service.proxy().get("back"))
@@ -450,7 +453,7 @@
             CLOCK.now_ms() + 9000.0,
         )
         connection.start()
-        connection.post(p.encode({"type": "hello", "proxy": name, "speaks": [1], "can": ["whole"]}))
+        connection.send(p.encode({"type": "hello", "proxy": name, "speaks": [1], "can": ["whole"]}))
         peers.append(connection)
     until(lambda: len(service.service.fleet.proxies) == 3)
     push(tmp_path, attempts(4))
@@ -466,7 +469,7 @@
     [first] = seen
     digest = p.Published.of(Number(1, 1), attempts(4)).digest
     connection = peers["abc".index(first)]
-    connection.post(p.encode({"type": "ack", "epoch": 1, "version": 1, "digest": digest, "notes": []}))
+    connection.send(p.encode({"type": "ack", "epoch": 1, "version": 1, "digest": digest, "notes": []}))
     until(lambda: [offered(name) for name in heard].count(True) == 3)
 
     def status() -> dict[str, Any]:
--- a/tests/test_subset_running.py
+++ b/tests/test_subset_running.py
@@ -90,15 +90,15 @@
     for planner in node.planners:
         while not planner.inbox.empty():
             planner.step()
-    assert len(first._known) == len(second._known) == SIZE
-    assert set(first._known) != set(second._known)
+    assert len(first._server_states) == len(second._server_states) == SIZE
+    assert set(first._server_states) != set(second._server_states)
     off = Node(configuration.read(table(), {}), ManualClock())
     assert off.planners[0].subset is None
     while not off.planners[0].inbox.empty():
         off.planners[0].step()
-    assert len(off.planners[0]._known) == SERVERS
+    assert len(off.planners[0]._server_states) == SERVERS
     for planner in (first, second, off.planners[0]):
-        for server in list(planner._known):
+        for server in list(planner._server_states):
             planner.servers.close(server)
 
 
@@ -126,11 +126,11 @@
 
     @property
     def members(self) -> list[str]:
-        return sorted(one.id for one in self.planner._known.values() if not one.draining)
+        return sorted(one.id for one in self.planner._server_states.values() if not one.draining)
 
     def list(self, *servers: m.LocatedServer, complete: bool = False) -> None:
         self.version += 1
-        self.planner.tell(m.ServerListUpdate(self.version, complete, servers))
+        self.planner.submit_update(m.ServerListUpdate(self.version, complete, servers))
         self.settle()
 
     def settle(self) -> None:
@@ -163,26 +163,26 @@
     rig = Rig()
     outside = next(number for number in range(SERVERS) if f"s{number}" not in rig.members)
     rig.call(1, outside)
-    (server,) = rig.servers.out.values()
+    (server,) = rig.servers.in_flight.values()
     assert server in rig.members
 
 
 def test_links_are_held_for_members_only() -> None:
     rig = Rig()
-    assert len(rig.planner._known) == len(rig.members) == SIZE
+    assert len(rig.planner._server_states) == len(rig.members) == SIZE
 
 
 def test_a_draining_member_is_replaced_and_gets_no_new_calls() -> None:
     rig = Rig()
     drained = rig.members[0]
-    rig.servers.drains.add(drained)
+    rig.servers.draining.add(drained)
     rig.list(rig.entry(int(drained[1:]), api.ServerStatus.DRAINING))
     (substitute,) = set(rig.members) - {drained} - {"s"} - set(Rig().members)
     rig.up(substitute)
     for number in range(1, 30):
         rig.call(number, int(drained[1:]))
         rig.advance(25.0)
-    assert len(rig.members) == SIZE and drained not in rig.servers.out.values()
+    assert len(rig.members) == SIZE and drained not in rig.servers.in_flight.values()
 
 
 def test_an_established_call_at_a_server_that_left_the_subset_ends_once() -> None:
@@ -194,45 +194,45 @@
     (substitute,) = set(rig.members) - before
     rig.up(substitute)
     for other in before - {lost}:  # so that the call goes to the substitute
-        rig.put(m.LinkDown(other, rig.planner._known[other].epoch))
+        rig.put(m.LinkDown(other, rig.planner._server_states[other].epoch))
     caller = rig.call(1, int(substitute[1:]))
-    assert rig.servers.out == {f"{1:016x}": substitute}
-    rig.servers.ended(f"{1:016x}", False)
-    rig.servers.standing[f"{1:016x}"] = substitute
+    assert rig.servers.in_flight == {f"{1:016x}": substitute}
+    rig.servers.end_attempt(f"{1:016x}", False)
+    rig.servers.established[f"{1:016x}"] = substitute
     rig.put(m.ServerAnswered(substitute, f"{1:016x}", "answer", None))
     for server in before:
         rig.up(server)
     rig.advance(7000.0)
-    assert rig.planner._known[substitute].draining, "the substitute is no longer needed"
+    assert rig.planner._server_states[substitute].draining, "the substitute is no longer needed"
     assert set(rig.members) == before
     rig.advance(3000.0)
-    assert [type(message) for message in caller.heard] == [m.Answered], "the call stays established"
+    assert [type(message) for message in caller.received] == [m.Answered], "the call stays established"
     rig.put(
         m.ServerReleased(
             substitute, f"{1:016x}", m.CAUSE_NORMAL, api.Result.ERROR, api.RefusalReason.UNSPECIFIED, None
         )
     )
-    assert [type(message) for message in caller.heard] == [m.Answered, m.Ended]
+    assert [type(message) for message in caller.received] == [m.Answered, m.Ended]
     rig.advance(2000.0)
-    assert substitute not in rig.planner._known, "its link is closed"
-    assert len(caller.heard) == 2
+    assert substitute not in rig.planner._server_states, "its link is closed"
+    assert len(caller.received) == 2
 
 
 def test_a_call_goes_to_a_substitute_when_all_members_are_disconnected() -> None:
     rig = Rig()
     before = set(rig.members)
     caller = rig.call(1, 0)
-    first = rig.servers.out.pop(f"{1:016x}")
+    first = rig.servers.in_flight.pop(f"{1:016x}")
     for server in before:
-        rig.put(m.LinkDown(server, rig.planner._known[server].epoch, refused=True))
+        rig.put(m.LinkDown(server, rig.planner._server_states[server].epoch, refused=True))
     rig.advance(225.0)
     substitutes = set(rig.members) - before
     assert len(substitutes) >= SIZE
     for server in sorted(substitutes):
         rig.up(server)
     rig.advance(100.0)  # until the first attempt is released
-    assert caller.heard == []
-    assert rig.servers.out[f"{1:016x}"] in substitutes - {first}
+    assert caller.received == []
+    assert rig.servers.in_flight[f"{1:016x}"] in substitutes - {first}
 
 
 # -- invalid lists ------------------------------------------------------------------------------------
