--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The whole test command: style, types, then the tests (module limits among them).
+# The complete test command: style, format, types, then the tests (module limits included).
 set -e
 ruff check .
 ruff format --check .
