--- a/capershelf/node.py
+++ b/capershelf/node.py
@@ -23,7 +23,7 @@
 from capershelf.net.links import Links
 from capershelf.net.vocabulary import Terms
 from capershelf.net.websocket import WebSocket
-from capershelf.registry.board import FRESH_MS, Board, read_notices
+from capershelf.registry.board import MAX_LIST_AGE_MS, Board, parse_notices
 from capershelf.registry.eureka import Eureka
 from capershelf.registry.source import Source
 from capershelf.release import VERSION
@@ -170,11 +170,11 @@
         elif config.board:
             board = Board(config.board, config.known, self.clock, self._news)
             self.sources.append(board)
-            self.clock.find_standstills(FRESH_MS)  # its thread reads the clock more often than this
+            self.clock.find_standstills(MAX_LIST_AGE_MS)  # its thread reads the clock more often than this
             for planner in self.planners:
-                planner.list_gate.fresh = board.fresh
+                planner.list_gate.fresh = board.is_current
         else:  # an operator may list the booking servers in the file
-            for news in read_notices(config.known, -1)[1]:
+            for news in parse_notices(config.known, -1)[1]:
                 self._news(news)
 
     # -- ways into the planners -----------------------------------------------------------------------
@@ -274,7 +274,7 @@
                 address=address,
             )
         elif same_kind and not self.sources and new.known != old.known:
-            for news in read_notices(new.known, -1)[1]:
+            for news in parse_notices(new.known, -1)[1]:
                 self._news(news)
         names = {field.name for field in dataclasses.fields(Config)}
         names -= {"board", "known", "seed", "eureka", "table"}
@@ -294,7 +294,7 @@
         self._stopping.set()
         began_ms = self.clock.now_ms()
         for source in self.sources:
-            source.withdraw()
+            source.deregister()
         time.sleep(self.clock.seconds_until(began_ms + STILL_ACCEPTING_MS) or 0.0)
         for house in self.houses:
             house.close()  # what still comes is refused at once
@@ -311,7 +311,7 @@
                 planner.remember()  # its thread has ended
             self.memory.close()
         for source in self.sources:
-            source.end()
+            source.stop()
         by_ms = self.clock.now_ms() + WRITTEN_MS
         for front in self.fronts:
             front.close_all(by_ms)
--- a/capershelf/registry/__init__.py
+++ b/capershelf/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of booking servers comes from."""
+"""Clients of the registries that list the booking servers."""
--- a/capershelf/registry/board.py
+++ b/capershelf/registry/board.py
@@ -1,4 +1,4 @@
-"""The notice board: numbered events, by a poll that is always open."""
+"""The notice board: a numbered event log, followed by long polling."""
 
 from __future__ import annotations
 
@@ -7,191 +7,205 @@
 
 from loguru import logger
 
-from capershelf import interface as api
 from capershelf.core.clock import Clock, Inbox
 from capershelf.core.model import LocatedServer, ServerListUpdate
+from capershelf.interface import ListedServer, ServerStatus
 from capershelf.net.addresses import parse_endpoint
 from capershelf.net.http import HttpClient
-from capershelf.registry.source import Tell
+from capershelf.registry.source import PublishUpdate
 
-# A board that has gone silent is found out after these two: its news counts as told 2 s after the linger.
+# A board that stops answering is noticed after the sum of these two.  An event counts as known to the proxies
+# 2 s after the linger.
 LINGER_MS = 1000.0
-GRACE_MS = 500.0  # an answer that is so late does not come any more
-AGAIN_MS = (0.0, 50.0, 100.0, 200.0, 400.0)  # pauses after failures
-# An answer comes at least so often from a board that can be had.  Where none has, this process stood still or
-# was starved, and what the board has told meanwhile lies unread.
-FRESH_MS = LINGER_MS + GRACE_MS + 100.0
-LATE_MS = 100.0  # an answer may come so long after the board's wait
-OWN_MS = 150.0  # a poll that is found over so late was not the board's to lose
-BACK = 3  # answers in a row that number back: the board has begun anew, and so does this side
-NAME_LENGTH = 64  # of a zone or service, at the most
-WS = "ws://"
+ANSWER_GRACE_MS = 500.0  # after the linger; a poll that is still unanswered then has failed
+RETRY_DELAYS_MS = (0.0, 50.0, 100.0, 200.0, 400.0)  # by the number of failures in a row
+# A reachable board answers at least this often.  A longer gap means that this process was suspended or
+# starved of processor time, and that later events may be waiting unread.
+MAX_LIST_AGE_MS = LINGER_MS + ANSWER_GRACE_MS + 100.0
+MAX_TRANSIT_MS = 100.0  # from the end of the board's linger to the arrival of its answer
+MAX_OVERRUN_MS = 150.0  # past its deadline; a poll that fails later than that was delayed by this process
+STALE_ANSWERS_BEFORE_RESYNC = 3  # in a row; the board has then restarted its numbering
+MAX_NAME_LENGTH = 64  # of a zone or service
+WEBSOCKET_SCHEME = "ws://"
 STATES = {
-    "up": api.ServerStatus.ACTIVE,
-    "draining": api.ServerStatus.DRAINING,
-    "removed": api.ServerStatus.REMOVED,
+    "up": ServerStatus.ACTIVE,
+    "draining": ServerStatus.DRAINING,
+    "removed": ServerStatus.REMOVED,
 }
-SHUT = {api.ServerStatus.ACTIVE: 0, api.ServerStatus.DRAINING: 1, api.ServerStatus.REMOVED: 2}
+RESTRICTIVENESS = {ServerStatus.ACTIVE: 0, ServerStatus.DRAINING: 1, ServerStatus.REMOVED: 2}
 
 
-def read_notices(found: Any, after: int, vouches: bool = False) -> tuple[int, list[ServerListUpdate]]:
-    """The number of the last event and the news after `after`; ValueError for what is not of the form.
+def parse_notices(
+    document: Any, after: int, reports_all_starts: bool = False
+) -> tuple[int, list[ServerListUpdate]]:
+    """Return the number of the last event and the updates after `after`; ValueError for a malformed document.
 
-    A notice that can't be read, or whose number goes back, is named in the log, and the others are taken:
-    guards a list from standing still for one odd entry.  vouches: the list is a notice board's, which shows
-    every late start; an operator's file shows none.
+    A notice that is malformed or out of sequence is logged and skipped, so that one bad entry does not block
+    the rest of the list.  reports_all_starts: the document comes from a notice board, which shows every
+    restart of a server; a list in an operator's file shows none.
     """
-    if not isinstance(found, dict) or not _whole(found.get("rev")):
-        raise ValueError("notices without a rev")
-    notices = found.get("notices") or []
+    if not isinstance(document, dict) or not _is_integer(document.get("rev")):
+        raise ValueError("the document has no integer rev")
+    notices = document.get("notices") or []
     if not isinstance(notices, list):
-        raise ValueError("its notices are not a list")
-    news, before = [], after
+        raise ValueError("notices is not a list")
+    updates, before = [], after
     for notice in notices:
         try:
             if not isinstance(notice, dict):
                 raise ValueError("a notice is not an object")
             number = notice.get("rev", after + 1)
-            if not _whole(number):
-                raise ValueError(f"a notice's rev is no number: {number!r}")
+            if not _is_integer(number):
+                raise ValueError(f"the rev of a notice is not an integer: {number!r}")
             if number <= after:
                 if number > before:
                     raise ValueError(f"notice {number} comes after notice {after}")
-                continue  # told before
+                continue  # processed in an earlier answer
             after = number
             if (pool := notice.get("pool")) is not None:
-                news.append(read_pool(pool, vouches))
+                updates.append(parse_pool(pool, reports_all_starts))
         except ValueError as problem:
-            odd(problem)
-    return found["rev"], news
+            log_skipped(problem)
+    return document["rev"], updates
 
 
-def _whole(number: Any) -> bool:
+def _is_integer(number: Any) -> bool:
     return isinstance(number, int) and not isinstance(number, bool)
 
 
-def odd(problem: object) -> None:
-    logger.warning("notice board: passed over: {problem}", event="board-odd", problem=problem)
+def log_skipped(problem: object) -> None:
+    """Log an entry or answer that is ignored."""
+    logger.warning("notice board: skipped: {problem}", event="board-odd", problem=problem)
 
 
-def read_pool(pool: Any, vouches: bool) -> ServerListUpdate:
-    """One event's news; targets that can't be read are named in the log and stay as they were."""
+def parse_pool(pool: Any, reports_all_starts: bool) -> ServerListUpdate:
+    """Parse one event; targets that cannot be parsed are logged and keep their previous entry."""
     if not isinstance(pool, dict) or not isinstance(pool.get("targets"), list):
-        raise ValueError("a pool without targets")
+        raise ValueError("a pool has no list of targets")
     servers: dict[str, LocatedServer] = {}
-    kept: set[str] = set()
+    retained: set[str] = set()
     for target in pool["targets"]:
         uid = target.get("uid") if isinstance(target, dict) else None
         if not isinstance(uid, str) or not uid:
-            odd(f"a target without a uid: {str(target)[:80]}")
+            log_skipped(f"a target without a uid: {str(target)[:80]}")
             continue
         try:
-            located = read_target(uid, target)
+            located = parse_target(uid, target)
         except (KeyError, TypeError, ValueError, AttributeError) as problem:
-            odd(f"target {uid[:40]} can't be read: {problem!r}"[:200])
-            kept.add(uid)
+            log_skipped(f"target {uid[:40]} cannot be parsed: {problem!r}"[:200])
+            retained.add(uid)
             continue
-        if (twice := servers.get(uid)) is not None:
-            odd(f"target {uid[:40]} is listed twice")
-            if SHUT[twice.listed.status] >= SHUT[located.listed.status]:
-                continue  # that it takes nothing new counts, whatever else is said
+        if (duplicate := servers.get(uid)) is not None:
+            log_skipped(f"target {uid[:40]} is listed twice")
+            if RESTRICTIVENESS[duplicate.listed.status] >= RESTRICTIVENESS[located.listed.status]:
+                continue  # the most restrictive status of the duplicates applies
         servers[uid] = located
-    whole = bool(pool.get("all", False))
-    return ServerListUpdate(0, whole, tuple(servers.values()), vouches, frozenset(kept - set(servers)))
+    complete = bool(pool.get("all", False))
+    return ServerListUpdate(
+        0, complete, tuple(servers.values()), reports_all_starts, frozenset(retained - set(servers))
+    )
 
 
-def read_target(uid: str, target: dict[str, Any]) -> LocatedServer:
-    """One target; of one that takes nothing new only the state has to be readable."""
-    standing = STATES[target["state"]]
+def parse_target(uid: str, target: dict[str, Any]) -> LocatedServer:
+    """Parse one target; for a server that accepts no new calls only the state has to be valid."""
+    status = STATES[target["state"]]
     try:
-        place, endpoint = int(target["pod_group"]), str(target["endpoint"])
-        parse_endpoint(endpoint.removeprefix(WS).partition("/")[0])
+        pool, endpoint = int(target["pod_group"]), str(target["endpoint"])
+        parse_endpoint(endpoint.removeprefix(WEBSOCKET_SCHEME).partition("/")[0])
         started_ms = float(target.get("boot_ms") or 0)
     except (KeyError, TypeError, ValueError):
-        if standing is api.ServerStatus.ACTIVE:
+        if status is ServerStatus.ACTIVE:
             raise
-        place, endpoint, started_ms = -1, "", 0.0
-    listed = api.ListedServer(uid, place, standing, started_ms or None)
-    return LocatedServer(listed, endpoint, name_of(target, "az"), name_of(target, "service"))
+        pool, endpoint, started_ms = -1, "", 0.0
+    listed = ListedServer(uid, pool, status, started_ms or None)
+    return LocatedServer(listed, endpoint, parse_name(target, "az"), parse_name(target, "service"))
 
 
-def name_of(target: dict[str, Any], key: str) -> str:
-    """A zone's or service's name, empty where none is told; ValueError for what is no short text."""
+def parse_name(target: dict[str, Any], key: str) -> str:
+    """Return a zone's or service's name, empty if absent; ValueError if it is not a short string."""
     name = target.get(key, "")
-    if not isinstance(name, str) or len(name) > NAME_LENGTH:
-        raise ValueError(f"its {key} is no name: {str(name)[:40]!r}")
+    if not isinstance(name, str) or len(name) > MAX_NAME_LENGTH:
+        raise ValueError(f"{key} is not a valid name: {str(name)[:40]!r}")
     return name
 
 
 class Board:
-    """Follows one notice board, beginning after the events that were known at the start."""
+    """Follows one notice board, starting after the events in the configuration file."""
 
-    def __init__(self, endpoint: str, known: Any, clock: Clock, tell: Tell) -> None:
+    def __init__(self, endpoint: str, known: Any, clock: Clock, publish: PublishUpdate) -> None:
         self._client = HttpClient(endpoint, clock)
-        self._clock, self._tell = clock, tell
-        self._ended: Inbox[bool] = Inbox(clock)
-        self._over = False
-        self._back = 0  # answers in a row whose last event is before the last one here
-        self._heard_ms = self._by_ms = clock.now_ms()  # of the last answer; when that to the last poll is due
-        self._away = False  # the board could not be had
-        self._rev, news = read_notices(known, -1, vouches=True)
-        for one in news:
-            tell(one)
-
-    def withdraw(self) -> None:
-        """The board holds booking servers only."""
+        self._clock, self._publish = clock, publish
+        self._wake_up: Inbox[bool] = Inbox(clock)  # ends a retry delay at stop()
+        self._stopped = False
+        self._stale_answers = 0  # in a row, whose last event precedes the last one processed here
+        # When the list was last known to be current, and the deadline of the last poll.
+        self._current_at_ms = self._poll_deadline_ms = clock.now_ms()
+        self._unreachable = False
+        self._rev, updates = parse_notices(known, -1, reports_all_starts=True)
+        for update in updates:
+            publish(update)
+
+    def deregister(self) -> None:
+        """Do nothing: the board lists booking servers only, not proxies."""
 
     def move(self, address: str) -> None:
-        """The numbering goes on: the new address is asked for what follows the last event here."""
+        """Continue at another address with the events after the last one processed here."""
         parse_endpoint(address)
         self._client.move(address)
 
-    def fresh(self) -> bool:
-        """Whether the list here is the board's of just now, or it can't be had.  Any thread may ask."""
-        return self._away or self._clock.now_ms() - self._heard_ms <= FRESH_MS
+    def is_current(self) -> bool:
+        """Whether the list is up to date, or the board is unreachable.  Callable from any thread."""
+        return self._unreachable or self._clock.now_ms() - self._current_at_ms <= MAX_LIST_AGE_MS
 
-    def end(self) -> None:
-        self._over = True
-        self._ended.put(True)
+    def stop(self) -> None:
+        """Stop polling; `run` returns when the poll in progress has ended."""
+        self._stopped = True
+        self._wake_up.put(True)
 
     def run(self) -> None:
+        """Poll until stopped; a failed poll is retried and the last list stays in use."""
         failures = 0
-        while not self._over:
+        while not self._stopped:
             try:
                 self.poll()
                 failures = 0
             except (OSError, ValueError, RecursionError) as problem:
-                self._away = self._clock.now_ms() - self._by_ms <= OWN_MS
+                self._unreachable = self._clock.now_ms() - self._poll_deadline_ms <= MAX_OVERRUN_MS
                 if failures == 0:
                     logger.warning("notice board: {problem}", event="board-failed", problem=problem)
-                pause_ms = AGAIN_MS[min(failures, len(AGAIN_MS) - 1)]
+                delay_ms = RETRY_DELAYS_MS[min(failures, len(RETRY_DELAYS_MS) - 1)]
                 failures += 1
-                self._ended.take(self._clock.now_ms() + pause_ms)
-            except Exception:  # the board must not stop service, whatever it sends
-                logger.exception("notice board: an answer could not be dealt with", event="board-fault")
-                self._ended.take(self._clock.now_ms() + AGAIN_MS[-1])
+                self._wake_up.take(self._clock.now_ms() + delay_ms)
+            except Exception:  # no answer of the board may stop this thread
+                logger.exception("notice board: an answer could not be processed", event="board-fault")
+                self._wake_up.take(self._clock.now_ms() + RETRY_DELAYS_MS[-1])
         self._client.close()
 
     def poll(self) -> None:
-        """One poll, and what it brings."""
-        linger_ms = LINGER_MS if self.fresh() else 0.0  # no waiting for what may have happened long ago
+        """Send one poll and publish the updates in its answer."""
+        linger_ms = LINGER_MS if self.is_current() else 0.0  # an outdated list is refreshed without waiting
         path = f"/board/poll?watch={self._rev}&linger={linger_ms:.0f}"
-        asked_ms = self._clock.now_ms()
-        self._by_ms = asked_ms + linger_ms + GRACE_MS
-        status, body = self._client.request("GET", path, self._by_ms)
+        sent_ms = self._clock.now_ms()
+        self._poll_deadline_ms = sent_ms + linger_ms + ANSWER_GRACE_MS
+        status, body = self._client.request("GET", path, self._poll_deadline_ms)
         if status != 200:
-            raise ValueError(f"answered {status}")
-        rev, news = read_notices(json.loads(body), self._rev, vouches=True)
-        self._back = self._back + 1 if rev < self._rev else 0
-        if self._back == 1:
-            odd(f"its last event is {rev}, and {self._rev} was told before")
-        if self._back >= BACK:  # no old answer that came late: the list would stand still for long
-            logger.warning("notice board: numbered anew, its whole list is asked for", event="board-anew")
-            self._rev, self._back = 0, 0
+            raise ValueError(f"answered with status {status}")
+        rev, updates = parse_notices(json.loads(body), self._rev, reports_all_starts=True)
+        self._stale_answers = self._stale_answers + 1 if rev < self._rev else 0
+        if self._stale_answers == 1:
+            log_skipped(f"its last event is {rev}, but {self._rev} was received before")
+        # A single stale answer may be a delayed one.  With several the numbering has restarted, and without a
+        # resync no event would be accepted until it has caught up.
+        if self._stale_answers >= STALE_ANSWERS_BEFORE_RESYNC:
+            logger.warning(
+                "notice board: numbering restarted, fetching the complete list", event="board-anew"
+            )
+            self._rev, self._stale_answers = 0, 0
             return
-        self._rev = max(self._rev, rev)  # guards against old events told again as new
-        for one in news:
-            self._tell(one)
-        # Once all of it is told.  One that is read late may have lain here while the board had more to tell.
-        self._heard_ms = min(self._clock.now_ms(), asked_ms + linger_ms + LATE_MS)
-        self._away = False
+        self._rev = max(self._rev, rev)  # keeps events of a stale answer from being applied again
+        for update in updates:
+            self._publish(update)
+        # Set only after all updates are published.  An answer that is read late may have waited here while
+        # the board had newer events, so its age counts from its latest plausible arrival.
+        self._current_at_ms = min(self._clock.now_ms(), sent_ms + linger_ms + MAX_TRANSIT_MS)
+        self._unreachable = False
--- a/capershelf/registry/eureka.py
+++ b/capershelf/registry/eureka.py
@@ -1,8 +1,9 @@
-"""A Eureka registry, by its public REST operations: register, renew, fetch, delta and cancel.
+"""A client of a Eureka registry over its public REST operations: register, renew, fetch, delta and cancel.
 
-The instances of one application are the booking servers.  UP may be routed to; OUT_OF_SERVICE, DOWN, STARTING
-and UNKNOWN drain: nothing new goes there and what stands lives on.  An instance that is gone is removed.
-An instance's metadata may hold `place` (the number of its pool, else 0) and `transport` = `ws` with `path`.
+The instances of one application are the booking servers.  An instance that is UP receives calls.  One that
+is OUT_OF_SERVICE, DOWN, STARTING or UNKNOWN drains: it gets no new calls and keeps its established ones.  One
+that is no longer listed is removed.  An instance's metadata may hold `place` (the number of its pool, 0 by
+default) and `transport` = `ws` with `path`.
 """
 
 from __future__ import annotations
@@ -15,60 +16,60 @@
 
 from loguru import logger
 
-from capershelf import interface as api
 from capershelf.config import EurekaRegistry
 from capershelf.core.clock import Clock, Inbox
 from capershelf.core.model import LocatedServer, ServerListUpdate
+from capershelf.interface import ListedServer, ServerStatus
 from capershelf.net.http import HttpClient
-from capershelf.registry.source import Tell
+from capershelf.registry.source import PublishUpdate
 
-REQUEST_MS = 3000.0  # a request that takes longer has failed
-AGAIN_MS = 500.0  # the next try after one
-HTTP = "http://"
+REQUEST_TIMEOUT_MS = 3000.0
+RETRY_DELAY_MS = 500.0
+HTTP_SCHEME = "http://"
 
 
 class EurekaError(ValueError):
-    """An answer that is not of the API."""
+    """An answer that does not follow the Eureka API."""
 
 
 def split_url(url: str) -> tuple[str, str]:
-    """host:port and the path of the registry's address."""
-    if not url.startswith(HTTP):
+    """Split the registry's URL into host:port and path."""
+    if not url.startswith(HTTP_SCHEME):
         raise ValueError("eureka.url must begin with http://")
-    endpoint, _, path = url.removeprefix(HTTP).partition("/")
+    endpoint, _, path = url.removeprefix(HTTP_SCHEME).partition("/")
     return endpoint, "/" + path.strip("/")
 
 
-def as_list(found: Any) -> list[Any]:
-    """Eureka writes a list of one as the one."""
-    if found is None:
+def as_list(value: Any) -> list[Any]:
+    """Return a list in any case: Eureka writes a list with one element as the bare element."""
+    if value is None:
         return []
-    return found if isinstance(found, list) else [found]
+    return value if isinstance(value, list) else [value]
 
 
-def instances_of(answer: Any) -> list[tuple[str, str, dict[str, Any]]]:
-    """Application, instance id and instance, in the answer's order."""
+def parse_instances(answer: Any) -> list[tuple[str, str, dict[str, Any]]]:
+    """Return application, instance id and instance, in the order of the answer."""
     try:
-        found = []
+        instances = []
         for application in as_list(answer["applications"].get("application")):
             name = str(application["name"]).upper()
             for instance in as_list(application.get("instance")):
-                found.append((name, str(instance.get("instanceId") or instance["hostName"]), instance))
-        return found
+                instances.append((name, str(instance.get("instanceId") or instance["hostName"]), instance))
+        return instances
     except (KeyError, TypeError, AttributeError) as problem:
         raise EurekaError(f"not a list of applications: {problem!r}") from problem
 
 
-def located(instance_id: str, instance: dict[str, Any]) -> LocatedServer:
-    """An instance as a booking server."""
+def parse_instance(instance_id: str, instance: dict[str, Any]) -> LocatedServer:
+    """Convert an instance to a booking server."""
     try:
         metadata = instance.get("metadata") or {}
         started_ms = float((instance.get("leaseInfo") or {}).get("serviceUpTimestamp") or 0)
         active = instance["status"] == "UP"
-        listed = api.ListedServer(
+        listed = ListedServer(
             instance_id,
             int(metadata.get("place", 0)),
-            api.ServerStatus.ACTIVE if active else api.ServerStatus.DRAINING,
+            ServerStatus.ACTIVE if active else ServerStatus.DRAINING,
             started_ms or None,
         )
         endpoint = f"{instance.get('ipAddr') or instance['hostName']}:{int(instance['port']['$'])}"
@@ -78,56 +79,62 @@
             listed, endpoint, str(metadata.get("zone", "")), str(metadata.get("service", ""))
         )
     except (KeyError, TypeError, ValueError, AttributeError) as problem:
-        raise EurekaError(f"instance {instance_id} can't be read: {problem!r}") from problem
+        raise EurekaError(f"instance {instance_id} cannot be parsed: {problem!r}") from problem
 
 
 class Eureka:
-    """Follows one registry, and keeps this proxy's own registration where that is wanted."""
+    """Follows one registry and, if configured, keeps this proxy itself registered there."""
 
-    def __init__(self, config: EurekaRegistry, name: str, listen: str, clock: Clock, tell: Tell) -> None:
+    def __init__(
+        self, config: EurekaRegistry, name: str, listen: str, clock: Clock, publish: PublishUpdate
+    ) -> None:
         endpoint, self._base = split_url(config.url)
         self._client = HttpClient(endpoint, clock)
         self._config, self._name, self._listen = config, name, listen
         self._app = config.app.upper()
-        self._clock, self._tell = clock, tell
+        self._clock, self._publish = clock, publish
         self._inbox: Inbox[str] = Inbox(clock)
-        self._instances: dict[tuple[str, str], dict[str, Any]] | None = None  # of all applications
+        self._instances: dict[tuple[str, str], dict[str, Any]] | None = None  # those of all applications
         self._version = 0
-        self._told: tuple[LocatedServer, ...] | None = None
+        self._published: tuple[LocatedServer, ...] | None = None
         self._registered = False
         self._fetch_at_ms = self._renew_at_ms = clock.now_ms()
         if not config.own_app:
             self._renew_at_ms = math.inf
 
     # -- the loop -------------------------------------------------------------------------------------
-    def withdraw(self) -> None:
-        self._inbox.put("withdraw")
+    def deregister(self) -> None:
+        """Cancel this proxy's registration; the list is still followed."""
+        self._inbox.put("deregister")
 
     def move(self, address: str) -> None:
+        """Switch to the registry at another URL."""
         split_url(address)
         self._inbox.put(address)
 
-    def end(self) -> None:
-        self._inbox.put("end")
+    def stop(self) -> None:
+        """Make `run` return."""
+        self._inbox.put("stop")
 
     def run(self) -> None:
-        while (word := self._inbox.take(min(self._fetch_at_ms, self._renew_at_ms))) != "end":
-            if word is not None and word.startswith(HTTP):
-                self._follow(word)
-            if word == "withdraw":
+        """Fetch the list and renew the lease at their intervals until stopped."""
+        while (command := self._inbox.take(min(self._fetch_at_ms, self._renew_at_ms))) != "stop":
+            if command is not None and command.startswith(HTTP_SCHEME):
+                self._switch_registry(command)
+            if command == "deregister":
                 self._renew_at_ms = math.inf
-                self._attempt(self.cancel)
+                self._try_operation(self.cancel)
             now_ms = self._clock.now_ms()
             if now_ms >= self._renew_at_ms:
-                done = self._attempt(self.renew)
-                self._renew_at_ms = self._clock.now_ms() + (self._config.renew_ms if done else AGAIN_MS)
+                ok = self._try_operation(self.renew)
+                self._renew_at_ms = self._clock.now_ms() + (self._config.renew_ms if ok else RETRY_DELAY_MS)
             if now_ms >= self._fetch_at_ms:
-                done = self._attempt(self.fetch)
-                self._fetch_at_ms = self._clock.now_ms() + (self._config.fetch_ms if done else AGAIN_MS)
+                ok = self._try_operation(self.fetch)
+                self._fetch_at_ms = self._clock.now_ms() + (self._config.fetch_ms if ok else RETRY_DELAY_MS)
         self._client.close()
 
-    def _follow(self, url: str) -> None:
-        """Another registry: its whole list is fetched, and this proxy registers there anew."""
+    def _switch_registry(self, url: str) -> None:
+        """Fetch the complete list from another registry and register this proxy there."""
         endpoint, self._base = split_url(url)
         self._client.move(endpoint)
         self._instances, self._registered = None, False
@@ -135,18 +142,20 @@
         if self._renew_at_ms < math.inf:
             self._renew_at_ms = self._fetch_at_ms
 
-    def _attempt(self, what: Any) -> bool:
-        """One operation; a registry that fails or talks nonsense must not stop service."""
+    def _try_operation(self, operation: Any) -> bool:
+        """Run one operation; no failure or malformed answer of the registry may stop this thread."""
         try:
-            what()
+            operation()
         except (OSError, ValueError) as problem:
             logger.warning(
-                "eureka: {what}: {problem}", event="eureka-failed", what=what.__name__, problem=problem
+                "eureka: {what}: {problem}", event="eureka-failed", what=operation.__name__, problem=problem
             )
             return False
         except Exception:
             logger.exception(
-                "eureka: {what} could not be dealt with", event="eureka-fault", what=what.__name__
+                "eureka: unexpected error in {what}",
+                event="eureka-fault",
+                what=operation.__name__,
             )
             return False
         return True
@@ -154,62 +163,63 @@
     def _request(self, method: str, path: str, body: Any = None) -> tuple[int, bytes]:
         data = json.dumps(body).encode() if body is not None else b""
         fields = {"Accept": "application/json"} | ({"Content-Type": "application/json"} if data else {})
-        deadline_ms = self._clock.now_ms() + REQUEST_MS
+        deadline_ms = self._clock.now_ms() + REQUEST_TIMEOUT_MS
         return self._client.request(method, self._base + path, deadline_ms, data, fields)
 
     # -- the list -------------------------------------------------------------------------------------
     def fetch(self) -> None:
-        """The whole list the first time, then what changed; the whole again if that does not add up."""
-        if self._instances is not None and not self._take_delta():
+        """Fetch the complete list first, then changes; the complete list again if the hash code differs."""
+        if self._instances is not None and not self._apply_delta():
             logger.info(
-                "eureka: the changes do not add up, the whole list is fetched again", event="eureka-refetch"
+                "eureka: hash code mismatch after the changes, fetching the complete list",
+                event="eureka-refetch",
             )
             self._instances = None
         if self._instances is None:
             status, body = self._request("GET", "/apps")
             if status != 200:
                 raise EurekaError(f"the list was answered with {status}")
-            found = instances_of(json.loads(body))
-            self._instances = {(app, named): instance for app, named, instance in found}
-        self._tell_servers()
+            instances = parse_instances(json.loads(body))
+            self._instances = {(app, instance_id): instance for app, instance_id, instance in instances}
+        self._publish_servers()
 
-    def _take_delta(self) -> bool:
-        """Whether the changes led to the list whose hash code the registry gave."""
+    def _apply_delta(self) -> bool:
+        """Apply the changes; False if they do not lead to the hash code that the registry gave."""
         status, body = self._request("GET", "/apps/delta")
         if status != 200 or self._instances is None:
             return False
         answer = json.loads(body)
-        for app, found, instance in instances_of(answer):
+        for app, instance_id, instance in parse_instances(answer):
             if instance.get("actionType") == "DELETED":
-                self._instances.pop((app, found), None)
+                self._instances.pop((app, instance_id), None)
             else:
-                self._instances[app, found] = instance
+                self._instances[app, instance_id] = instance
         counts = Counter(str(instance.get("status")) for instance in self._instances.values())
-        ours = "".join(f"{status}_{count}_" for status, count in sorted(counts.items()))
-        return bool(ours == answer["applications"].get("apps__hashcode", ours))
+        hash_code = "".join(f"{status}_{count}_" for status, count in sorted(counts.items()))
+        return bool(hash_code == answer["applications"].get("apps__hashcode", hash_code))
 
-    def _tell_servers(self) -> None:
+    def _publish_servers(self) -> None:
         servers = []
-        for (app, found), instance in sorted((self._instances or {}).items()):
+        for (app, instance_id), instance in sorted((self._instances or {}).items()):
             if app == self._app:
                 try:
-                    servers.append(located(found, instance))
-                except EurekaError as problem:  # one bad entry must not take the others out
+                    servers.append(parse_instance(instance_id, instance))
+                except EurekaError as problem:  # one malformed entry must not hide the others
                     logger.warning("eureka: {problem}", event="eureka-unreadable", problem=problem)
-        if tuple(servers) != self._told:
-            self._told = tuple(servers)
+        if tuple(servers) != self._published:
+            self._published = tuple(servers)
             self._version += 1
-            self._tell(ServerListUpdate(self._version, True, self._told))
+            self._publish(ServerListUpdate(self._version, True, self._published))
 
-    # -- this proxy's own entry -----------------------------------------------------------------------
+    # -- this proxy's own registration -----------------------------------------------------------------------
     @property
-    def _own(self) -> str:
+    def _own_application(self) -> str:
         return f"/apps/{quote(self._config.own_app.upper(), safe='')}"
 
     def renew(self) -> None:
-        """Keep the lease; register where there is none, or where the registry has forgotten it."""
+        """Renew the lease; register if there is none or the registry no longer knows it."""
         if self._registered:
-            status, _ = self._request("PUT", f"{self._own}/{quote(self._name, safe='')}")
+            status, _ = self._request("PUT", f"{self._own_application}/{quote(self._name, safe='')}")
             if status == 200:
                 return
             self._registered = False
@@ -218,6 +228,7 @@
         self.register()
 
     def register(self) -> None:
+        """Register this proxy as an instance that is UP."""
         host, _, port = self._listen.rpartition(":")
         host = host.strip("[]")
         instance = {
@@ -238,14 +249,15 @@
                 "durationInSecs": max(3, round(3.0 * self._config.renew_ms / 1000.0)),
             },
         }
-        status, _ = self._request("POST", self._own, {"instance": instance})
+        status, _ = self._request("POST", self._own_application, {"instance": instance})
         if status not in (200, 204):
             raise EurekaError(f"the registration was answered with {status}")
         self._registered = True
 
     def cancel(self) -> None:
+        """Cancel this proxy's registration, if there is one."""
         if self._registered:
             self._registered = False
-            status, _ = self._request("DELETE", f"{self._own}/{quote(self._name, safe='')}")
+            status, _ = self._request("DELETE", f"{self._own_application}/{quote(self._name, safe='')}")
             if status not in (200, 404):
                 raise EurekaError(f"the cancellation was answered with {status}")
--- a/capershelf/registry/source.py
+++ b/capershelf/registry/source.py
@@ -1,4 +1,4 @@
-"""What every registry source is: something that tells ServerListUpdate until it is ended."""
+"""The interface of a registry client, which publishes ServerListUpdate until it is stopped."""
 
 from __future__ import annotations
 
@@ -7,17 +7,20 @@
 
 from capershelf.core.model import ServerListUpdate
 
-Tell = Callable[[ServerListUpdate], None]
+PublishUpdate = Callable[[ServerListUpdate], None]
 
 
 class Source(Protocol):
+    """A registry client that runs on a thread of its own."""
+
     def run(self) -> None:
-        """Tell what is new, until ended; a failing registry is tried again, and the last list stays."""
+        """Publish updates until stopped; a failing registry is retried and the last list stays in use."""
 
-    def withdraw(self) -> None:
-        """This proxy takes no more calls; the list is still followed."""
+    def deregister(self) -> None:
+        """Remove this proxy's own registration; the list is still followed."""
 
     def move(self, address: str) -> None:
-        """Follow the list at another address from here on; what is known stays."""
+        """Follow the list at another address from now on; the known servers are kept."""
 
-    def end(self) -> None: ...
+    def stop(self) -> None:
+        """Make `run` return."""
--- a/capershelf/subset/summary.py
+++ b/capershelf/subset/summary.py
@@ -7,7 +7,7 @@
 from capershelf.config import Config
 from capershelf.core.model import LocatedServer
 from capershelf.interface import ServerStatus
-from capershelf.registry.board import read_notices
+from capershelf.registry.board import parse_notices
 from capershelf.subset.selection import share
 
 
@@ -16,7 +16,7 @@
     assert config.subset is not None
     size = config.subset.size
     listed: dict[str, LocatedServer] = {}
-    for news in read_notices(config.known, -1)[1]:
+    for news in parse_notices(config.known, -1)[1]:
         listed |= {one.listed.server: one for one in news.servers}
     active = [one for one in listed.values() if one.listed.status is ServerStatus.ACTIVE]
     services = Counter(one.service for one in active)
--- a/lab/capacity/module_role.py
+++ b/lab/capacity/module_role.py
@@ -9,7 +9,7 @@
 from capershelf import config
 from capershelf import interface as api
 from capershelf.control import Controller
-from capershelf.registry.board import read_notices
+from capershelf.registry.board import parse_notices
 from lab.capacity import notice_board
 from lab.capacity.proxies import CLASSES, settings
 
@@ -102,7 +102,7 @@
     """Processor time of reading a list's event from its JSON, in ms."""
     targets = [notice_board.target(number, "127.0.0.1:5060") for number in range(servers)]
     body = json.dumps({"rev": 1, "notices": [notice_board.event(1, targets, True)]}).encode()
-    return 1000.0 * Module.timed(lambda: read_notices(json.loads(body), -1, vouches=True))
+    return 1000.0 * Module.timed(lambda: parse_notices(json.loads(body), -1, reports_all_starts=True))
 
 
 def measure(servers: int, calls: int) -> dict[str, Any]:
--- a/tests/test_registry_states.py
+++ b/tests/test_registry_states.py
@@ -1,4 +1,4 @@
-"""Both registries against stand-ins: a model of Eureka's list under random steps, the board's poll."""
+"""Both registry clients against stand-ins: Eureka under random steps, the board's long poll."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from capershelf.interface import ServerStatus
 from capershelf.net.http import HttpClient, HttpError, parse_head
 from capershelf.node import Node
-from capershelf.registry.board import BACK, Board, read_notices
+from capershelf.registry.board import STALE_ANSWERS_BEFORE_RESYNC, Board, parse_notices
 from capershelf.registry.eureka import Eureka, EurekaError
 from tests.test_planner_states import FakeServers
 from tests.test_reload import table as base_table
 
 CONFIG = EurekaRegistry("http://127.0.0.1:1/eureka", "BOOKING", "PROXY", 1000.0, 5000.0)
-STANDINGS = {
+STATUSES = {
     "UP": ServerStatus.ACTIVE,
     "DOWN": ServerStatus.DRAINING,
     "OUT_OF_SERVICE": ServerStatus.DRAINING,
@@ -35,7 +35,7 @@
 
 
 class StandIn:
-    """Eureka as its public page has it, without the sockets: instances, recent changes, leases."""
+    """An in-memory Eureka following its public documentation: instances, recent changes, leases."""
 
     def __init__(self) -> None:
         self.instances: dict[tuple[str, str], dict[str, Any]] = {}
@@ -108,7 +108,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.news: list[ServerListUpdate] = []
-        self.sound = False  # no change was lost since the last whole list
+        self.in_sync = False  # no change was lost since the last complete list
         self.stand_in = StandIn()
         self.eureka = Eureka(CONFIG, "p1", "127.0.0.1:5060", ManualClock(), self.news.append)
         self.eureka._client = self.stand_in  # type: ignore[assignment]
@@ -116,7 +116,7 @@
     @rule(
         app=st.sampled_from(["BOOKING", "OTHER"]),
         name=st.sampled_from(["a", "b", "c"]),
-        status=st.sampled_from([*STANDINGS, None]),
+        status=st.sampled_from([*STATUSES, None]),
     )
     def instance_changes(self, app: str, name: str, status: str | None) -> None:
         if status is not None or (app, name) in self.stand_in.instances:
@@ -128,30 +128,30 @@
 
     @rule()
     def fetch(self) -> None:
-        told = len(self.news)
+        published = len(self.news)
         if self.stand_in.down:
-            assert not self.eureka._attempt(self.eureka.fetch)
-            assert len(self.news) == told, "news of a list that nobody gave"
+            assert not self.eureka._try_operation(self.eureka.fetch)
+            assert len(self.news) == published, "an update although the registry gave no list"
             return
         changed = bool(self.stand_in.changes)
-        assert self.eureka._attempt(self.eureka.fetch)
+        assert self.eureka._try_operation(self.eureka.fetch)
         expected = {
-            name: STANDINGS[instance["status"]]
+            name: STATUSES[instance["status"]]
             for (app, name), instance in self.stand_in.instances.items()
             if app == "BOOKING"
         }
-        # A lost change that leaves the counts as they were shows at the next whole list only, as in Eureka.
+        # A lost change that leaves the status counts unchanged is found by the next complete list only.
         if self.stand_in.asked[-1] == ("GET", "/eureka/apps"):
-            self.sound = True
+            self.in_sync = True
         elif self.stand_in.delta_lost and changed:
-            self.sound = False
-        if self.sound:
+            self.in_sync = False
+        if self.in_sync:
             assert {one.listed.server: one.listed.status for one in self.news[-1].servers} == expected
             assert self.news[-1].complete
 
     @rule()
     def renew(self) -> None:
-        done = self.eureka._attempt(self.eureka.renew)
+        done = self.eureka._try_operation(self.eureka.renew)
         assert done is not self.stand_in.down
         assert not done or ("PROXY", "p1") in self.stand_in.instances
 
@@ -163,7 +163,7 @@
     @rule()
     def cancel(self) -> None:
         registered, asked = self.eureka._registered, len(self.stand_in.asked)
-        assert self.eureka._attempt(self.eureka.cancel) is not (registered and self.stand_in.down)
+        assert self.eureka._try_operation(self.eureka.cancel) is not (registered and self.stand_in.down)
         assert self.stand_in.asked[asked:] == registered * [("DELETE", "/eureka/apps/PROXY/p1")]
         assert not registered or self.stand_in.down or ("PROXY", "p1") not in self.stand_in.instances
 
@@ -174,7 +174,7 @@
 )
 
 
-def test_up_draining_gone_and_back_are_told_by_changes_alone() -> None:
+def test_up_draining_removed_and_up_again_are_published_from_deltas_alone() -> None:
     news: list[ServerListUpdate] = []
     stand_in, eureka = StandIn(), Eureka(CONFIG, "p1", "127.0.0.1:1", ManualClock(), news.append)
     eureka._client = stand_in  # type: ignore[assignment]
@@ -182,13 +182,13 @@
         stand_in.change("BOOKING", "a", status)
         eureka.fetch()
     eureka.fetch()
-    standings = [[one.listed.status for one in told.servers] for told in news]
-    assert standings == [[ServerStatus.ACTIVE], [ServerStatus.DRAINING], [], [ServerStatus.ACTIVE]]
+    statuses = [[server.listed.status for server in update.servers] for update in news]
+    assert statuses == [[ServerStatus.ACTIVE], [ServerStatus.DRAINING], [], [ServerStatus.ACTIVE]]
     assert [path for _, path in stand_in.asked] == ["/eureka/apps"] + 4 * ["/eureka/apps/delta"]
 
 
 @pytest.mark.parametrize("answer", [b"{}", b"[]", b'{"applications":[]}', b"x"])
-def test_nonsense_from_eureka_leaves_the_last_list(answer: bytes) -> None:
+def test_a_malformed_eureka_answer_leaves_the_last_list(answer: bytes) -> None:
     news: list[ServerListUpdate] = []
     stand_in, eureka = StandIn(), Eureka(CONFIG, "p1", "127.0.0.1:1", ManualClock(), news.append)
     eureka._client = stand_in  # type: ignore[assignment]
@@ -201,7 +201,7 @@
 
 
 class HttpServer:
-    """Answers each request with the next of the bytes given; None closes the connection in its place."""
+    """Answers each request with the next of the given responses; None closes the connection instead."""
 
     def __init__(self, *answers: bytes | None) -> None:
         self.heads: queue.SimpleQueue[str] = queue.SimpleQueue()
@@ -237,8 +237,8 @@
 
 
 @pytest.mark.parametrize("how", ["length", "chunks", "close"])
-def test_the_board_is_polled_from_what_is_known_and_after_failures(how: str) -> None:
-    """A closed connection, a refusal and nonsense are passed over; events arrive once and in order."""
+def test_the_board_is_polled_from_the_known_event_and_again_after_failures(how: str) -> None:
+    """A closed connection, an error status and a malformed body are retried; events arrive once, in order."""
 
     def notice(number: int, state: str) -> dict[str, Any]:
         target = {"uid": "s0", "endpoint": "127.0.0.1:9", "pod_group": 3, "state": state, "boot_ms": 5}
@@ -259,7 +259,7 @@
     thread = threading.Thread(target=board.run, daemon=True)
     thread.start()
     news = [told.get(timeout=20) for _ in range(4)]
-    board.end()
+    board.stop()
     assert [one.servers[0].listed.status for one in news] == [
         ServerStatus.ACTIVE,
         ServerStatus.DRAINING,
@@ -281,8 +281,8 @@
     return {"rev": number, "pool": {"rev": 1, "all": whole, "targets": list(targets)}}
 
 
-def test_odd_notices_and_targets_are_passed_over_and_the_rest_is_taken() -> None:
-    last, news = read_notices(
+def test_malformed_notices_and_targets_are_skipped_and_the_rest_is_applied() -> None:
+    last, news = parse_notices(
         {
             "rev": 9,
             "notices": [
@@ -320,12 +320,12 @@
 @pytest.mark.parametrize(
     "found", [None, [], {}, {"rev": "1"}, {"rev": True}, {"rev": 1, "notices": {"a": 1}}]
 )
-def test_what_is_no_answer_of_a_board_is_refused_as_a_whole(found: Any) -> None:
+def test_a_document_that_is_no_board_answer_is_rejected_entirely(found: Any) -> None:
     with pytest.raises(ValueError):
-        read_notices(found, 0)
+        parse_notices(found, 0)
 
 
-def test_a_server_that_can_not_be_read_in_a_whole_list_stays_and_numbers_that_go_back_stop_nothing() -> None:
+def test_a_malformed_entry_in_a_complete_list_is_kept_and_decreasing_numbers_block_nothing() -> None:
     table = base_table("") | {"known": {"rev": 1, "notices": [pool(1, target("a"), target("b"), whole=True)]}}
     node = Node(read(table, {}), ManualClock())
     planner = node.planners[0]
@@ -334,7 +334,7 @@
     servers.set_up = lambda server, *_: sent.append(server)  # type: ignore[method-assign]
 
     def told(number: int, *targets: Any) -> dict[str, str]:
-        for one in read_notices({"rev": number, "notices": [pool(number, *targets, whole=True)]}, 0)[1]:
+        for one in parse_notices({"rev": number, "notices": [pool(number, *targets, whole=True)]}, 0)[1]:
             node._news(one)
         while not planner.inbox.empty():
             planner.step()
@@ -346,19 +346,22 @@
     node.fronts[0].stop_accepting()
 
 
-def test_a_board_that_numbers_anew_is_asked_for_its_whole_list() -> None:
+def test_a_board_that_restarts_its_numbering_is_asked_for_its_complete_list() -> None:
     old = json.dumps({"rev": 2, "notices": [pool(2, target("a"))]}).encode()
     new = json.dumps({"rev": 2, "notices": [pool(1, target("a", "draining"), whole=True)]}).encode()
-    answers = [*[old] * BACK, new, b'{"rev":2}']
+    answers = [*[old] * STALE_ANSWERS_BEFORE_RESYNC, new, b'{"rev":2}']
     server = HttpServer(*(framed(answer, "length") for answer in answers))
     told: queue.SimpleQueue[ServerListUpdate] = queue.SimpleQueue()
     board = Board(server.endpoint, {"rev": 40, "notices": []}, SystemClock(), told.put)
     threading.Thread(target=board.run, daemon=True).start()
     first = told.get(timeout=20)
-    board.end()
+    board.stop()
     assert first.complete and first.servers[0].listed.status is ServerStatus.DRAINING
-    polls = [server.heads.get(timeout=20).split("watch=")[1].split("&")[0] for _ in range(BACK + 1)]
-    assert polls == ["40"] * BACK + ["0"]
+    polls = [
+        server.heads.get(timeout=20).split("watch=")[1].split("&")[0]
+        for _ in range(STALE_ANSWERS_BEFORE_RESYNC + 1)
+    ]
+    assert polls == ["40"] * STALE_ANSWERS_BEFORE_RESYNC + ["0"]
 
 
 @pytest.mark.parametrize(
@@ -377,11 +380,11 @@
         HttpClient(HttpServer(answer).endpoint, clock).request("GET", "/", clock.now_ms() + 20000.0)
 
 
-def test_heads_are_read_as_they_are_written() -> None:
+def test_repeated_header_fields_are_joined() -> None:
     assert parse_head(b"HTTP/1.1 200 OK\r\nA: b\r\na:c ") == ("HTTP/1.1 200 OK", {"a": "b, c"})
 
 
-def test_a_board_whose_answers_lie_unread_is_not_fresh_and_one_that_is_away_stops_nothing() -> None:
+def test_a_list_with_unread_answers_is_outdated_but_an_unreachable_board_counts_as_current() -> None:
     clock = ManualClock()
     board = Board("127.0.0.1:1", {"rev": 0, "notices": []}, clock, lambda news: None)
 
@@ -392,7 +395,7 @@
             asked.append(path)
             clock.advance(self.took_ms)
             if clock.now_ms() > deadline_ms:
-                board.end()  # the run below comes to its end after this
+                board.stop()  # lets the run() below return
                 raise TimeoutError
             return 200, b'{"rev":0,"notices":[]}'
 
@@ -401,28 +404,28 @@
     asked: list[str] = []
     answers = Answers()
     board._client = answers  # type: ignore[assignment]
-    assert board.fresh()
+    assert board.is_current()
     board.poll()
     clock.advance(1600.0)
-    assert board.fresh()
+    assert board.is_current()
     clock.advance(1.0)
-    assert not board.fresh()  # this process stood still
+    assert not board.is_current()  # this process was suspended
     answers.took_ms = 3.0
     board.poll()
-    assert board.fresh() and asked[-1].endswith("linger=0")
-    answers.took_ms = 1400.0  # the answer may have lain here since 1,000 ms
+    assert board.is_current() and asked[-1].endswith("linger=0")
+    answers.took_ms = 1400.0  # the answer may have been waiting unread since 1,000 ms
     board.poll()
     clock.advance(1301.0)
-    assert not board.fresh()
+    assert not board.is_current()
     assert asked[-1].endswith("linger=1000")
     answers.took_ms = 3.0
     board.poll()
-    answers.took_ms = 4000.0  # stood still within a poll
+    answers.took_ms = 4000.0  # suspended during a poll
     board.run()
-    assert not board.fresh()
+    assert not board.is_current()
     answers.took_ms = 3.0
     board.poll()
-    board._over, answers.took_ms = False, 1510.0  # the board gave no answer in its time
+    board._stopped, answers.took_ms = False, 1510.0  # the board did not answer before the deadline
     board.run()
     clock.advance(9000.0)
-    assert board.fresh()
+    assert board.is_current()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -250,7 +250,7 @@
     eureka._client.request = request  # type: ignore[method-assign,assignment]
     eureka.renew()
     eureka.fetch()
-    eureka._follow("http://127.0.0.1:2/other")
+    eureka._switch_registry("http://127.0.0.1:2/other")
     eureka.renew()
     eureka.fetch()
     assert asked == [
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -12,7 +12,7 @@
 from capershelf.core.clock import BACKLOG_MS, Standstill, SystemClock
 from capershelf.fronts.session import MIN_REMAINING_MS
 from capershelf.node import Node
-from capershelf.registry.board import FRESH_MS
+from capershelf.registry.board import MAX_LIST_AGE_MS
 from tests.peers import OPERATOR, Peer, Stage
 
 A, B = (f"{n:016x}" for n in range(0xA0, 0xA2))
@@ -38,8 +38,8 @@
 
 def test_a_gap_longer_than_any_threads_wait_is_a_standstill(machine: MachineTime) -> None:
     clock = SystemClock()
-    clock.find_standstills(FRESH_MS)
-    machine.now_s += FRESH_MS / 1000.0
+    clock.find_standstills(MAX_LIST_AGE_MS)
+    machine.now_s += MAX_LIST_AGE_MS / 1000.0
     clock.now_ms()
     assert clock.standstill is None
     began_ms = clock.now_ms()
@@ -110,7 +110,7 @@
         self.gaps_ms.append(longest_gap_ms)
 
 
-@pytest.mark.parametrize(("board", "gaps_ms"), [("127.0.0.1:9", [FRESH_MS]), ("", [])])
+@pytest.mark.parametrize(("board", "gaps_ms"), [("127.0.0.1:9", [MAX_LIST_AGE_MS]), ("", [])])
 def test_only_a_proxy_that_follows_a_board_looks_for_standstills(board: str, gaps_ms: list[float]) -> None:
     """The board's thread reads the clock so often; without it a long gap may be rest."""
     table = tomllib.loads(OPERATOR.read_text()) | {"listen": "127.0.0.1:0", "board": board}
--- a/tests/test_subset_running.py
+++ b/tests/test_subset_running.py
@@ -18,7 +18,7 @@
 from capershelf.core.clock import ManualClock
 from capershelf.core.planner import Planner
 from capershelf.node import Node, places_of
-from capershelf.registry.board import read_pool
+from capershelf.registry.board import parse_pool
 from capershelf.subset import Membership
 from tests.peers import OPERATOR
 from tests.rig import listed, settings
@@ -244,7 +244,7 @@
     targets[8] = target(8, az="z" * 500)
     targets += [target(9, service="other")]  # one server in two services
     try:
-        news = read_pool({"rev": 1, "all": True, "targets": targets}, True)
+        news = parse_pool({"rev": 1, "all": True, "targets": targets}, True)
     finally:
         logger.remove(sink)
     assert lines.qsize() == 5
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,7 +10,7 @@
 import pytest
 
 from capershelf.core.clock import SystemClock
-from capershelf.registry.board import GRACE_MS, LINGER_MS, Board
+from capershelf.registry.board import ANSWER_GRACE_MS, LINGER_MS, Board
 from tests.peers import PATIENCE_S
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
@@ -69,6 +69,6 @@
     thread.start()
     assert [board.asked.get(timeout=PATIENCE_S) for _ in range(2)] == ["7", "7"]
     assert board.given_up.get(timeout=PATIENCE_S)
-    assert clock.now_ms() - began_ms >= LINGER_MS + GRACE_MS - 1.0, "before the board's time was over"
-    watcher.end()
+    assert clock.now_ms() - began_ms >= LINGER_MS + ANSWER_GRACE_MS - 1.0, "before the board's time was over"
+    watcher.stop()
     board.listener.close()
