--- a/capershelf/node.py
+++ b/capershelf/node.py
@@ -1,4 +1,4 @@
-"""One signalling proxy: puts fronts, planners, links and registries together and stops them in order."""
+"""One signalling proxy: assembles its components, starts them and shuts them down in order."""
 
 from __future__ import annotations
 
@@ -11,13 +11,22 @@
 
 from loguru import logger
 
-from capershelf import interface as api
 from capershelf.config import Config
-from capershelf.core import model as m
 from capershelf.core.clock import Clock, SystemClock
+from capershelf.core.model import (
+    ApplySettings,
+    Event,
+    QueryOpenClasses,
+    ServerAnswered,
+    ServerListUpdate,
+    ServerReleased,
+    Stop,
+    Subset,
+)
 from capershelf.core.planner import Planner
 from capershelf.fronts.listener import Listener
 from capershelf.fronts.session import FrontContext
+from capershelf.interface import Settings
 from capershelf.net.connection import start_thread
 from capershelf.net.framing import Framing, Lines
 from capershelf.net.links import Links
@@ -31,39 +40,42 @@
 if TYPE_CHECKING:
     from capershelf.memory.memory import Memory
 
-STILL_ACCEPTING_MS = 900.0  # after SIGTERM: callers go on connecting for a while
-OWN_MB = 22.0  # what the program holds without callers
-CALLER_MB = 0.08  # what a caller's connection takes: thread, buffer and sockets
-LINK_MB = 0.012  # and a link to a booking server
-OWN_SOCKETS = 40  # descriptors for listening, the registry, signals, turning callers away, links under repair
-LEAST_LINKS = 8
-HELD_SHARE = 1 / 16  # of the memory may be descriptions of open set-ups
-STANDING_MS = 9000.0  # and so long calls that stand are still passed their end
-# The platform kills what was told to stop no sooner than the longest deadline, counted as 3 s where it is
-# longer, and 0.7 s more.  Whoever still waits gets an outcome some time before that.
-LONGEST_MS, KILLED_MS, EARLIER_MS = 3000.0, 700.0, 400.0
-WRITTEN_MS = 500.0  # at the end, what is told may take so long to be written, and callers to hang up
-LOOK_S = 0.01
-
-
-def callers_share(config: Config) -> int:
-    """How many callers may be connected: a third of the descriptors, and what the memory has room for.
-
-    Less where few descriptors are allowed: those of the list and of some links are kept aside from callers.
+ACCEPT_AFTER_STOP_MS = 900.0  # callers keep connecting for a while after SIGTERM
+BASE_MEMORY_MB = 22.0  # resident memory without callers
+CALLER_MEMORY_MB = 0.08  # of a caller's connection: thread, buffers and socket
+LINK_MEMORY_MB = 0.012  # of a link to a booking server
+# Descriptors for listening, the registry, signals, rejecting callers and links that reconnect.
+RESERVED_SOCKETS = 40
+MIN_LINKS = 8  # of each planner
+SET_UP_MEMORY_SHARE = 1 / 16  # of the memory limit, for the descriptions of open set-ups
+ESTABLISHED_CALLS_MS = 9000.0  # after SIGTERM, for forwarding the ends of established calls
+# The platform kills a process no sooner after SIGTERM than the longest deadline, capped at MAX_DEADLINE_MS,
+# plus KILL_DELAY_MS.  Callers that still wait get an outcome KILL_MARGIN_MS before that.
+MAX_DEADLINE_MS = 3000.0
+KILL_DELAY_MS = 700.0
+KILL_MARGIN_MS = 400.0
+FLUSH_TIMEOUT_MS = 500.0  # at exit, for pending output to be written and callers to disconnect
+FLUSH_POLL_S = 0.01
+
+
+def max_callers(config: Config) -> int:
+    """The maximum number of connected callers: a third of the descriptors, as far as the memory allows.
+
+    A low descriptor limit reduces it further, to leave enough for the registry and a minimum of links.
     """
-    sockets = min(config.sockets // 3, config.sockets - OWN_SOCKETS - LEAST_LINKS * config.planners)
-    return max(1, min(sockets, int(max(0.0, config.memory_mb - OWN_MB) / CALLER_MB)))
+    sockets = min(config.sockets // 3, config.sockets - RESERVED_SOCKETS - MIN_LINKS * config.planners)
+    return max(1, min(sockets, int(max(0.0, config.memory_mb - BASE_MEMORY_MB) / CALLER_MEMORY_MB)))
 
 
-def links_share(config: Config) -> int:
-    """How many booking servers one planner may be connected to: what callers and the rest leave."""
-    sockets = config.sockets - min(config.sockets // 3, callers_share(config)) - OWN_SOCKETS
-    memory_mb = config.memory_mb - OWN_MB - CALLER_MB * callers_share(config)
-    return max(LEAST_LINKS, min(sockets, int(memory_mb / LINK_MB)) // config.planners)
+def max_links_per_planner(config: Config) -> int:
+    """The maximum number of links of one planner: what callers and the fixed costs leave over."""
+    sockets = config.sockets - min(config.sockets // 3, max_callers(config)) - RESERVED_SOCKETS
+    memory_mb = config.memory_mb - BASE_MEMORY_MB - CALLER_MEMORY_MB * max_callers(config)
+    return max(MIN_LINKS, min(sockets, int(memory_mb / LINK_MEMORY_MB)) // config.planners)
 
 
-def planner_settings(settings: api.Settings, number: int, count: int) -> api.Settings:
-    """A planner's own slot in a fleet of proxies times planners, so that the shares of each still add up."""
+def planner_settings(settings: Settings, number: int, count: int) -> Settings:
+    """Give a planner its own slot in a fleet of proxies times planners, so that the shares still add up."""
     return dataclasses.replace(
         settings,
         gateway_no=settings.gateway_no * count + number,
@@ -72,16 +84,17 @@
 
 
 def lines_framing(full: bool) -> Framing | None:
-    """JSON lines have no word for a front that is full: the caller is hung up on."""
+    """Return None for a full front: JSON lines have no message for that, so the connection is just closed."""
     return None if full else Lines()
 
 
 def websocket_framing(full: bool) -> Framing | None:
+    """Return a framing whose handshake rejects the caller if the front is full."""
     return WebSocket(full=full)
 
 
 def open_memory(config: Config, clock: Clock) -> Memory | None:
-    """What survives restart, where an operator's file turns it on; nothing is imported for it else."""
+    """Create the memory that survives a restart, if configured; its modules are imported only then."""
     if config.memory is None:
         return None
     from capershelf.memory.memory import Memory, Who
@@ -90,33 +103,33 @@
     return Memory(config.memory, Who(config.name, VERSION, senders, config.planners), clock)
 
 
-def open_subset(config: Config, settings: api.Settings) -> m.Subset | None:
-    """A planner's subset, where an operator's file turns it on; nothing is imported for it else."""
+def open_subset(config: Config, settings: Settings) -> Subset | None:
+    """Create a planner's subset, if configured; its modules are imported only then."""
     if config.subset is None:
         return None
     from capershelf.subset import Membership
 
-    return Membership(settings.gateway_no, config.subset.size, settings.ramp_ms, places_of(settings))
+    return Membership(settings.gateway_no, config.subset.size, settings.ramp_ms, reachable_pools(settings))
 
 
-def places_of(settings: api.Settings) -> frozenset[int] | None:
-    """Where calls of any class may go from here; None: anywhere."""
-    places: set[int] = set()
-    for kind in settings.classes:
-        if kind.pools is None:
+def reachable_pools(settings: Settings) -> frozenset[int] | None:
+    """The pools that calls of any class may be sent to; None for all pools."""
+    pools: set[int] = set()
+    for call_class in settings.classes:
+        if call_class.pools is None:
             return None
-        places |= set(kind.pools)
-    return frozenset(places)
+        pools |= set(call_class.pools)
+    return frozenset(pools)
 
 
 class Node:
-    """The running parts of one proxy."""
+    """The running components of one proxy."""
 
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config = config
         self.clock = clock or SystemClock()
         self._stopping = threading.Event()
-        self._reloading = threading.Lock()  # SIGHUP and the stream may come at once
+        self._reloading = threading.Lock()  # SIGHUP and the configuration stream may reload concurrently
         count = config.planners
         self.planners = [
             Planner(
@@ -129,7 +142,7 @@
             for number in range(count)
         ]
         for number, planner in enumerate(self.planners):
-            planner.owed = self._owed
+            planner.owed = self._pending_set_ups
             planner.subset = open_subset(config, planner_settings(config.settings, number, count))
             planner.servers = Links(
                 self.clock,
@@ -137,7 +150,7 @@
                 self._from_server(planner),
                 config.settings.gateway_count,
                 f"links of {planner.name}",
-                links_share(config),
+                max_links_per_planner(config),
                 planner.idle,
             )
         self.memory = open_memory(config, self.clock)
@@ -145,79 +158,84 @@
             for planner, keeper in zip(self.planners, self.memory.keepers, strict=True):
                 planner.memory = keeper
         self.fronts: list[Listener] = []
-        self.houses: list[FrontContext] = []
+        self.front_contexts: list[FrontContext] = []
         terms = Terms.of(config.settings)
-        wanted = [(config.listen, lines_framing, False)] if config.listen else []
+        front_options = [(config.listen, lines_framing, False)] if config.listen else []
         if config.websocket is not None:
-            wanted.append((config.websocket.listen, websocket_framing, True))
-        for listen, framing, outlived in wanted:
-            most = max(1, callers_share(config) // len(wanted))
-            house = FrontContext(
+            front_options.append((config.websocket.listen, websocket_framing, True))
+        for listen, framing, calls_outlive_connection in front_options:
+            max_sessions = max(1, max_callers(config) // len(front_options))
+            context = FrontContext(
                 self.clock,
                 terms,
                 self._route,
-                self._every,
-                self._ready,
-                outlived,
-                int(config.memory_mb * HELD_SHARE * 2**20) // len(wanted),
+                self._broadcast,
+                self._is_ready,
+                calls_outlive_connection,
+                int(config.memory_mb * SET_UP_MEMORY_SHARE * 2**20) // len(front_options),
             )
-            self.houses.append(house)
-            self.fronts.append(Listener(listen, framing, most, house))
+            self.front_contexts.append(context)
+            self.fronts.append(Listener(listen, framing, max_sessions, context))
         self.sources: list[Source] = []
-        self._versions = 0  # of the list; the source's thread, or whoever reads a list in the file
+        # Written by the source's thread, or by the thread that reads a list in the file.
+        self._list_version = 0
         if config.eureka is not None:
-            self.sources.append(Eureka(config.eureka, config.name, config.listen, self.clock, self._news))
+            self.sources.append(
+                Eureka(config.eureka, config.name, config.listen, self.clock, self._publish_update)
+            )
         elif config.board:
-            board = Board(config.board, config.known, self.clock, self._news)
+            board = Board(config.board, config.known, self.clock, self._publish_update)
             self.sources.append(board)
-            self.clock.find_standstills(MAX_LIST_AGE_MS)  # its thread reads the clock more often than this
+            # The board's thread reads the clock more often than this.
+            self.clock.find_standstills(MAX_LIST_AGE_MS)
             for planner in self.planners:
                 planner.list_gate.fresh = board.is_current
-        else:  # an operator may list the booking servers in the file
-            for news in parse_notices(config.known, -1)[1]:
-                self._news(news)
+        else:  # an operator's file may list the booking servers itself
+            for update in parse_notices(config.known, -1)[1]:
+                self._publish_update(update)
 
-    # -- ways into the planners -----------------------------------------------------------------------
+    # -- events for the planners ----------------------------------------------------------------------
     def _planner_of(self, call_id: str) -> Planner:
         if len(self.planners) == 1:
             return self.planners[0]
         return self.planners[zlib.crc32(call_id.lower().encode()) % len(self.planners)]
 
-    def _route(self, call_id: str) -> Callable[[m.Event], None]:
+    def _route(self, call_id: str) -> Callable[[Event], None]:
         return self._planner_of(call_id).inbox.put
 
-    def _from_server(self, planner: Planner) -> Callable[[m.Event], None]:
-        """What a planner's link brings: a call's news goes to that call's planner, all else to the link's."""
+    def _from_server(self, planner: Planner) -> Callable[[Event], None]:
+        """The callback of a planner's links: a call's events go to its own planner, others to this one."""
 
-        def post(event: m.Event) -> None:
-            if isinstance(event, m.ServerAnswered | m.ServerReleased):
+        def post(event: Event) -> None:
+            if isinstance(event, ServerAnswered | ServerReleased):
                 self._planner_of(event.id).inbox.put(event)
             else:
                 planner.inbox.put(event)
 
         return post
 
-    def _news(self, news: m.ServerListUpdate) -> None:
-        """Pass news of the list on, numbered here: no source's numbers that go back can stop the list."""
-        self._versions += 1
-        news = dataclasses.replace(news, version=self._versions)
+    def _publish_update(self, update: ServerListUpdate) -> None:
+        """Pass an update to all planners, numbered here: decreasing numbers of a source must not block it."""
+        self._list_version += 1
+        update = dataclasses.replace(update, version=self._list_version)
         for planner in self.planners:
-            planner.tell(news)
+            planner.tell(update)
 
-    def _every(self, event: m.Event) -> int:
-        """Tell all planners; how many there are."""
+    def _broadcast(self, event: Event) -> int:
+        """Post an event to all planners; returns their number."""
         for planner in self.planners:
             planner.inbox.put(event)
         return len(self.planners)
 
-    def _owed(self) -> int:
-        return sum(house.pending_set_ups for house in self.houses)
+    def _pending_set_ups(self) -> int:
+        return sum(context.pending_set_ups for context in self.front_contexts)
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         return not self._stopping.is_set()
 
-    # -- life -----------------------------------------------------------------------------------------
+    # -- life cycle -----------------------------------------------------------------------------------
     def start(self) -> None:
+        """Start all threads and open the listening sockets."""
         for source in self.sources:
             start_thread(source.run, "registry")
         if self.memory is not None:
@@ -233,39 +251,42 @@
         )
 
     def adopt(self, config: Config, done: Callable[[], None]) -> bool:
-        """Take a streamed version over; done is called once by each planner.  False: this proxy stops."""
+        """Apply a streamed version; each planner calls done once.  False if this proxy is stopping."""
         if self._stopping.is_set():
             return False
-        for house in self.houses:
-            house.terms = Terms.of(config.settings)
+        for context in self.front_contexts:
+            context.terms = Terms.of(config.settings)
         for number, planner in enumerate(self.planners):
             settings = planner_settings(config.settings, number, len(self.planners))
-            planner.inbox.put(m.ApplySettings(settings, config.connect_ms, done))
+            planner.inbox.put(ApplySettings(settings, config.connect_ms, done))
         self.config = dataclasses.replace(
             self.config, settings=config.settings, connect_ms=config.connect_ms, table=config.table
         )
         self.reload(config)
         return True
 
-    def ask_open(self, back: Callable[[set[str]], None]) -> int:
-        """Have each planner call back with the classes that have open calls; how many planners there are."""
-        return self._every(m.QueryOpenClasses(back))
+    def ask_open(self, callback: Callable[[set[str]], None]) -> int:
+        """Have each planner report its classes with open calls; returns the number of planners."""
+        return self._broadcast(QueryOpenClasses(callback))
 
     def outcomes(self) -> tuple[int, int]:
-        """(given, refused or failed) since the start."""
-        return sum(one.calls.given for one in self.planners), sum(one.calls.refused for one in self.planners)
+        """Outcomes given since the start, and how many of them were refusals or failures."""
+        return (
+            sum(planner.calls.given for planner in self.planners),
+            sum(planner.calls.refused for planner in self.planners),
+        )
 
     def reload(self, config: Config) -> None:
-        """Take over what a running proxy can: the registry's address, or a list in the file itself."""
+        """Apply what can change at run time: the registry's address, or the list of servers in the file."""
         with self._reloading:
             self._reload(config)
 
     def _reload(self, config: Config) -> None:
         old, new = self.config, config
         address = new.eureka.url if new.eureka is not None else new.board
-        was = old.eureka.url if old.eureka is not None else old.board
-        same_kind = (old.eureka is None) is (new.eureka is None) and bool(address) is bool(was)
-        if same_kind and address != was:
+        old_address = old.eureka.url if old.eureka is not None else old.board
+        same_kind = (old.eureka is None) is (new.eureka is None) and bool(address) is bool(old_address)
+        if same_kind and address != old_address:
             for source in self.sources:
                 source.move(address)
             logger.info(
@@ -274,15 +295,15 @@
                 address=address,
             )
         elif same_kind and not self.sources and new.known != old.known:
-            for news in parse_notices(new.known, -1)[1]:
-                self._news(news)
+            for update in parse_notices(new.known, -1)[1]:
+                self._publish_update(update)
         names = {field.name for field in dataclasses.fields(Config)}
         names -= {"board", "known", "seed", "eureka", "table"}
         changed = [name for name in sorted(names) if getattr(old, name) != getattr(new, name)]
         if not same_kind:
             changed.append("kind of registry")
         for name in changed:
-            logger.warning("the new {field} holds from the next start on", event="next-start", field=name)
+            logger.warning("the new {field} takes effect at the next start", event="next-start", field=name)
         self.config = (
             dataclasses.replace(old, board=new.board, known=new.known, eureka=new.eureka, table=new.table)
             if same_kind
@@ -290,31 +311,33 @@
         )
 
     def stop(self) -> None:
-        """Go on for a while, answer all that was taken, then end."""
+        """Keep serving for a short time, give every accepted set-up its outcome, then shut down."""
         self._stopping.set()
-        began_ms = self.clock.now_ms()
+        stop_ms = self.clock.now_ms()
         for source in self.sources:
             source.deregister()
-        time.sleep(self.clock.seconds_until(began_ms + STILL_ACCEPTING_MS) or 0.0)
-        for house in self.houses:
-            house.close()  # what still comes is refused at once
+        time.sleep(self.clock.seconds_until(stop_ms + ACCEPT_AFTER_STOP_MS) or 0.0)
+        for context in self.front_contexts:
+            context.close()  # set-ups from here on are refused at once
         for front in self.fronts:
             front.stop_accepting()
-        longest_ms = max(kind.deadline_ms for kind in self.config.settings.classes)
-        answer_ms = began_ms + min(longest_ms, LONGEST_MS) + KILLED_MS - EARLIER_MS
+        longest_deadline_ms = max(call_class.deadline_ms for call_class in self.config.settings.classes)
+        answer_by_ms = stop_ms + min(longest_deadline_ms, MAX_DEADLINE_MS) + KILL_DELAY_MS - KILL_MARGIN_MS
         for planner in self.planners:
-            planner.inbox.put(m.Stop(began_ms + STANDING_MS, answer_ms))
+            planner.inbox.put(Stop(stop_ms + ESTABLISHED_CALLS_MS, answer_by_ms))
         for thread in self._threads:
             thread.join()
         if self.memory is not None:
             for planner in self.planners:
-                planner.remember()  # its thread has ended
+                planner.remember()  # safe: the planner's thread has ended
             self.memory.close()
         for source in self.sources:
             source.stop()
-        by_ms = self.clock.now_ms() + WRITTEN_MS
+        flush_by_ms = self.clock.now_ms() + FLUSH_TIMEOUT_MS
         for front in self.fronts:
-            front.close_all(by_ms)
-        while self.clock.now_ms() < by_ms and not all(one.servers.is_flushed() for one in self.planners):
-            time.sleep(LOOK_S)
+            front.close_all(flush_by_ms)
+        while self.clock.now_ms() < flush_by_ms and not all(
+            planner.servers.is_flushed() for planner in self.planners
+        ):
+            time.sleep(FLUSH_POLL_S)
         logger.info("{proxy} has answered all it took", event="stopped", proxy=self.config.name)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -229,7 +229,7 @@
         if where == "inbox":  # its set-up waits for the planner
             held = Held(stage.planner)
             caller.set_up(A)
-            until(lambda: stage.node.houses[0].pending_set_ups == 1)
+            until(lambda: stage.node.front_contexts[0].pending_set_ups == 1)
         elif where == "room":  # both servers drain: it is held
             for server in stage.planner._known.values():
                 stage.planner.tell(
@@ -330,7 +330,7 @@
         caller, other = stage.caller(), stage.caller()
         held = Held(stage.planner)
         caller.set_up(A)
-        until(lambda: stage.node.houses[0].pending_set_ups == 1)
+        until(lambda: stage.node.front_contexts[0].pending_set_ups == 1)
         (asker,) = [s for s in stage.node.fronts[0]._sessions if s._open]
         other.say("release", A, cause=16)
         until(lambda: not asker.is_waiting(A))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -23,7 +23,7 @@
 from capershelf.net.framing import Lines
 from capershelf.net.links import LATER_MS, Link, Repairs
 from capershelf.net.vocabulary import Terms
-from capershelf.node import LEAST_LINKS, OWN_SOCKETS, callers_share, links_share
+from capershelf.node import MIN_LINKS, RESERVED_SOCKETS, max_callers, max_links_per_planner
 from tests.peers import PATIENCE_S, BookingServer, Peer, until
 from tests.rig import settings
 from tests.test_reload import BoardStandIn, Program, table
@@ -187,7 +187,7 @@
     from capershelf.config import read
 
     config = read(table("") | {"limits": {"sockets": sockets, "memory_mb": 4096}, "planners": planners}, {})
-    return callers_share(config), links_share(config) * planners
+    return max_callers(config), max_links_per_planner(config) * planners
 
 
 @pytest.mark.parametrize("planners", [1, 4])
@@ -196,8 +196,11 @@
     sockets: int, planners: int
 ) -> None:
     callers, links = descriptor_shares(sockets, planners)
-    assert callers + links + OWN_SOCKETS <= sockets or sockets < OWN_SOCKETS + (LEAST_LINKS + 1) * planners
-    assert callers <= sockets // 3 and links >= LEAST_LINKS
+    assert (
+        callers + links + RESERVED_SOCKETS <= sockets
+        or sockets < RESERVED_SOCKETS + (MIN_LINKS + 1) * planners
+    )
+    assert callers <= sockets // 3 and links >= MIN_LINKS
 
 
 def session_on(near: socket.socket) -> session_module.Session:
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -14,7 +14,7 @@
 from capershelf.core import model as m
 from capershelf.core.clock import ManualClock
 from capershelf.core.planner import Planner
-from capershelf.node import CALLER_MB, OWN_MB, callers_share
+from capershelf.node import BASE_MEMORY_MB, CALLER_MEMORY_MB, max_callers
 from tests.rig import listed, settings
 from tests.test_planner_states import FakeCaller, FakeServers
 from tests.test_reload import table
@@ -145,9 +145,9 @@
 
 def test_callers_take_no_more_than_the_memory_has_room_for() -> None:
     def share(sockets: int, memory_mb: int) -> int:
-        return callers_share(read(table("") | {"limits": {"sockets": sockets, "memory_mb": memory_mb}}, {}))
+        return max_callers(read(table("") | {"limits": {"sockets": sockets, "memory_mb": memory_mb}}, {}))
 
     assert share(256, 192) == 85
     assert share(1024, 192) == 341
-    assert share(1024, 32) * CALLER_MB + OWN_MB <= 32
+    assert share(1024, 32) * CALLER_MEMORY_MB + BASE_MEMORY_MB <= 32
     assert share(1024, 32) >= 85
--- a/tests/test_registry_states.py
+++ b/tests/test_registry_states.py
@@ -335,7 +335,7 @@
 
     def told(number: int, *targets: Any) -> dict[str, str]:
         for one in parse_notices({"rev": number, "notices": [pool(number, *targets, whole=True)]}, 0)[1]:
-            node._news(one)
+            node._publish_update(one)
         while not planner.inbox.empty():
             planner.step()
         return {gate.id: gate.standing.value for gate in planner._controller.gates.values()}
--- a/tests/test_subset_running.py
+++ b/tests/test_subset_running.py
@@ -17,7 +17,7 @@
 from capershelf.core import model as m
 from capershelf.core.clock import ManualClock
 from capershelf.core.planner import Planner
-from capershelf.node import Node, places_of
+from capershelf.node import Node, reachable_pools
 from capershelf.registry.board import parse_pool
 from capershelf.subset import Membership
 from tests.peers import OPERATOR
@@ -260,5 +260,5 @@
     def kind(places: tuple[int, ...] | None) -> api.CallClass:
         return api.CallClass("a", 1.0, 2.0, pools=None if places is None else frozenset(places))
 
-    assert places_of(settings(classes=(kind((0, 1)), kind((1, 2))))) == frozenset({0, 1, 2})
-    assert places_of(settings(classes=(kind((0, 1)), kind(None)))) is None
+    assert reachable_pools(settings(classes=(kind((0, 1)), kind((1, 2))))) == frozenset({0, 1, 2})
+    assert reachable_pools(settings(classes=(kind((0, 1)), kind(None)))) is None
