--- a/capershelf/cli.py
+++ b/capershelf/cli.py
@@ -15,34 +15,35 @@
 from capershelf.net.connection import start_thread
 from capershelf.node import Node
 from capershelf.release import VERSION
-from capershelf.signals import OVER, Signals
+from capershelf.signals import STOPPED, Signals
 
 if TYPE_CHECKING:
     from capershelf.stream.stream import Stream
 
-GROUPS = {  # imported only when asked for: `serve` pays for none
+COMMAND_MODULES = {  # imported on use only, to keep the start of `serve` short
     "memory": "capershelf.commands.memory",
     "control": "capershelf.commands.control",
 }
-EXTRAS = {"memory": "memory", "control": "stream"}  # of this package, which hold their libraries
+# The extra of this package that installs a command's libraries.
+EXTRAS = {"memory": "memory", "control": "stream"}
 
 
 class Commands(click.Group):
-    """The commands here, and groups of commands in modules of their own."""
+    """The commands of this module and the command groups that are imported on use."""
 
     def list_commands(self, context: click.Context) -> list[str]:
-        return sorted([*super().list_commands(context), *GROUPS])
+        return sorted([*super().list_commands(context), *COMMAND_MODULES])
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        if name not in GROUPS:
+        if name not in COMMAND_MODULES:
             return super().get_command(context, name)
         try:
-            command = importlib.import_module(GROUPS[name]).group
+            command = importlib.import_module(COMMAND_MODULES[name]).group
         except ModuleNotFoundError as problem:
             if problem.name is not None and problem.name.startswith("capershelf"):
                 raise
             raise click.ClickException(
-                f"{name} needs {problem.name}, which is not installed: the extra {EXTRAS[name]!r} has it"
+                f"{name} needs {problem.name}, which is not installed: install the extra {EXTRAS[name]!r}"
             ) from problem
         assert isinstance(command, click.Command)
         return command
@@ -56,18 +57,20 @@
         context.invoke(serve)
 
 
-CONFIG = click.option("--config", "path", type=click.Path(dir_okay=False), help="An operator's TOML file.")
+CONFIG_OPTION = click.option(
+    "--config", "path", type=click.Path(dir_okay=False), help="An operator's TOML file."
+)
 
 
 @main.command()
-@CONFIG
+@CONFIG_OPTION
 @click.option("--log-level", default="INFO", show_default=True, help="As loguru names them.")
 @click.option("--log-format", type=click.Choice(logs.FORMATS), default="text", show_default=True)
 def serve(path: str | None = None, log_level: str = "INFO", log_format: str = "text") -> None:
     """Serve until SIGTERM or SIGINT, then answer all that was taken and exit; SIGHUP reads the
     configuration again."""
     try:
-        logs.set_up(log_level, log_format)
+        logs.configure(log_level, log_format)
     except ValueError as problem:
         raise click.UsageError(str(problem)) from problem
     signals = Signals((signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
@@ -79,32 +82,32 @@
         raise click.ClickException(str(problem)) from problem
     except ModuleNotFoundError as problem:
         raise click.ClickException(
-            f"the configuration turns on what needs {problem.name}: the extras 'memory' and 'stream' have it"
+            f"the configuration needs {problem.name}, which the extras 'memory' and 'stream' install"
         ) from problem
     node.start()
     if stream is not None:
         stream.start(node)
-    follow(signals, node, stream, path)
+    handle_signals(signals, node, stream, path)
 
 
-def follow(signals: Signals, node: Node, stream: Stream | None, path: str | None) -> None:
-    """Obey signals until the node has stopped.
+def handle_signals(signals: Signals, node: Node, stream: Stream | None, path: str | None) -> None:
+    """Handle signals until the node has stopped.
 
-    A node that stops goes on obeying SIGHUP: guards the booking servers from a proxy that follows a list at
-    an address that has been given up, and sends by it for as long as its last calls take.
+    SIGHUP is handled during the shutdown too: the registry may move meanwhile, and a proxy that still
+    followed the old address would send its last calls by an outdated list.
     """
 
     def stop() -> None:
         try:
-            node.stop()  # from here on it takes no streamed version over
+            node.stop()  # from here on the node applies no streamed version
             if stream is not None:
                 stream.end()
         finally:
-            signals.put(OVER)
+            signals.put(STOPPED)
 
     stopping = False
-    while (told := signals.take()) != OVER:
-        if told == signal.SIGHUP:
+    while (number := signals.take()) != STOPPED:
+        if number == signal.SIGHUP:
             reload(node, stream, path)
         elif not stopping:
             stopping = True
@@ -113,7 +116,7 @@
 
 
 def open_stream(config: configuration.Config) -> Stream | None:
-    """Streamed configuration, where an operator's file turns it on; nothing is imported for it else."""
+    """Create the client of streamed configuration, if configured; its modules are imported only then."""
     if config.stream is None:
         return None
     from capershelf.stream.stream import Stream
@@ -122,13 +125,13 @@
 
 
 def reload(node: Node, stream: Stream | None, path: str | None) -> None:
-    """Guards service against the new file: whatever is wrong with it, the old one stays in force."""
+    """Read the configuration again; whatever is wrong with the file, the old one stays in force."""
     try:
         config = configuration.load(os.environ, path)
         node.reload(config) if stream is None else stream.rebase(config)
     except Exception as problem:
         logger.error(
-            "the new configuration is not taken, the old one stays in force: {problem}",
+            "the new configuration is rejected, the old one stays in force: {problem}",
             event="reload-refused",
             problem=problem,
         )
@@ -139,39 +142,39 @@
 @main.command()
 def version() -> None:
     """Print the version."""
-    from importlib import metadata  # a fifth of all that `serve` would import, which has no use for it
+    from importlib import metadata  # would be a fifth of the imports of `serve`, which does not need it
 
     try:
         click.echo(metadata.version("capershelf"))
-    except metadata.PackageNotFoundError:  # run from a checkout
+    except metadata.PackageNotFoundError:  # running from a checkout
         click.echo(VERSION)
 
 
-def describe_subset(found: configuration.Config) -> str:
-    """What subsetting comes to with the servers that the configuration itself lists."""
-    if found.subset is None:
+def describe_subset(config: configuration.Config) -> str:
+    """Describe the subset of the servers that the configuration itself lists."""
+    if config.subset is None:
         return "off"
     from capershelf.subset.summary import summary
 
-    return summary(found)
+    return summary(config)
 
 
 @main.command("check-config")
-@CONFIG
+@CONFIG_OPTION
 def check_config(path: str | None) -> None:
     """Read the configuration, say what it turns on, and start nothing."""
     try:
-        found = configuration.load(os.environ, path)
+        config = configuration.load(os.environ, path)
     except (ValueError, OSError) as problem:
         raise click.ClickException(str(problem)) from problem
-    classes = ", ".join(kind.name for kind in found.settings.classes)
-    click.echo(f"{found.name}: classes {classes}; {found.planners} planner(s)")
-    click.echo(f"JSON lines: {found.listen or 'off'}")
-    click.echo(f"WebSocket: {found.websocket.listen if found.websocket else 'off'}")
-    click.echo(f"notice board: {found.board or 'off'}")
-    click.echo(f"Eureka: {found.eureka.url if found.eureka else 'off'}")
-    click.echo(f"memory: {found.memory.folder if found.memory else 'off'}")
-    click.echo(f"stream: {', '.join(found.stream.services) if found.stream else 'off'}")
-    click.echo(f"subset: {describe_subset(found)}")
-    for name in found.unread:
+    classes = ", ".join(call_class.name for call_class in config.settings.classes)
+    click.echo(f"{config.name}: classes {classes}; {config.planners} planner(s)")
+    click.echo(f"JSON lines: {config.listen or 'off'}")
+    click.echo(f"WebSocket: {config.websocket.listen if config.websocket else 'off'}")
+    click.echo(f"notice board: {config.board or 'off'}")
+    click.echo(f"Eureka: {config.eureka.url if config.eureka else 'off'}")
+    click.echo(f"memory: {config.memory.folder if config.memory else 'off'}")
+    click.echo(f"stream: {', '.join(config.stream.services) if config.stream else 'off'}")
+    click.echo(f"subset: {describe_subset(config)}")
+    for name in config.unread:
         click.echo(f"note: {name!r} is not a setting of this program")
--- a/capershelf/commands/control.py
+++ b/capershelf/commands/control.py
@@ -59,7 +59,7 @@
     log_format: str,
 ) -> None:
     """Offer the versions in FOLDER until SIGTERM or SIGINT."""
-    logs.set_up("INFO", log_format)
+    logs.configure("INFO", log_format)
     try:
         plan = Plan(tuple(float(one) for one in stages.split(",")), 1000.0 * watch)
         identity = Identity(client_ca, certificate, key_file) if certificate else None
--- a/capershelf/config.py
+++ b/capershelf/config.py
@@ -1,4 +1,4 @@
-"""The settings, from the platform's file or an operator's; the one reader that both programs use."""
+"""Configuration from the platform's file and an operator's; shared by the proxy and the simulator adapter."""
 
 from __future__ import annotations
 
@@ -9,36 +9,39 @@
 from pathlib import Path
 from typing import Any
 
-from capershelf import interface as api
+from capershelf.interface import CallClass, LoadReportSource, Settings, Tenant
 
-REPORTS = {
-    "piggyback": api.LoadReportSource.ANSWERS,
-    "pull": api.LoadReportSource.PROBES,
-    "silent": api.LoadReportSource.NONE,
+LOAD_REPORT_SOURCES = {  # by the platform's name
+    "piggyback": LoadReportSource.ANSWERS,
+    "pull": LoadReportSource.PROBES,
+    "silent": LoadReportSource.NONE,
 }
 
 
 @dataclass(frozen=True, slots=True)
 class WebSocketFront:
-    """The second front, off unless an operator's file turns it on."""
+    """The WebSocket front; enabled by an operator's file only."""
 
     listen: str
 
 
 @dataclass(frozen=True, slots=True)
 class EurekaRegistry:
-    """A Eureka registry, off unless an operator's file turns it on."""
+    """A Eureka registry; enabled by an operator's file only."""
 
     url: str
     app: str  # the application whose instances are the booking servers
-    own_app: str  # and the one under which this proxy registers itself; empty: it does not
+    own_app: str  # the application that this proxy registers as; empty: it does not register
     fetch_ms: float
     renew_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class MemorySettings:
-    """Learning that survives restart (capershelf/memory/), off unless an operator's file turns it on."""
+    """Memory that survives a restart (capershelf/memory/); enabled by an operator's file only.
+
+    The keys of the [memory] table are derived from the names of these fields.
+    """
 
     folder: str
     key_file: str = ""
@@ -54,39 +57,39 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamSettings:
-    """Streamed configuration (capershelf/stream/), off unless an operator's file turns it on."""
+    """Streamed configuration (capershelf/stream/); enabled by an operator's file only."""
 
-    services: tuple[str, ...]  # in the order of preference: host:port, or ws://host:port
-    folder: str = ""  # where the last good version is kept; empty: nowhere
-    keys: str = ""  # folder of the public keys that are trusted; empty: unsigned versions are taken
-    ca: str = ""  # TLS, where it is set
+    services: tuple[str, ...]  # host:port or ws://host:port, in order of preference
+    folder: str = ""  # for the last good version; empty: it is not stored
+    keys: str = ""  # folder of trusted public keys; empty: unsigned versions are accepted
+    ca: str = ""  # of TLS; empty: no TLS
     certificate: str = ""
     key_file: str = ""
-    strict: bool = False  # refuse what only a start can change, instead of noting it
+    strict: bool = False  # reject a version with changes that need a restart, instead of logging them
     probation_ms: float = 0.0
-    margin: float = 0.2
-    least: int = 50
+    probation_margin: float = 0.2  # rise in the share of failed calls that rolls a version back
+    probation_min_outcomes: int = 50  # before the shares are compared
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetSettings:
-    """Deterministic subsetting (capershelf/subset/), off unless an operator's file turns it on."""
+    """Deterministic subsetting (capershelf/subset/); enabled by an operator's file only."""
 
-    size: int  # members of each service
+    size: int  # servers per service
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that one signalling proxy is told."""
+    """The configuration of one signalling proxy."""
 
     name: str
-    listen: str  # of the JSON-lines front; empty: off
+    listen: str  # address of the JSON-lines front; empty: off
     seed: int
     sockets: int
     memory_mb: float
     board: str
-    known: Any
-    settings: api.Settings
+    known: Any  # the document of notices that the list of servers starts from
+    settings: Settings
     connect_ms: float
     planners: int = 1
     websocket: WebSocketFront | None = None
@@ -94,14 +97,15 @@
     memory: MemorySettings | None = None
     stream: StreamSettings | None = None
     subset: SubsetSettings | None = None
-    table: dict[str, Any] = field(default_factory=dict, compare=False)  # as it was read
-    unread: tuple[str, ...] = field(default=())
+    table: dict[str, Any] = field(default_factory=dict, compare=False)  # the parsed input
+    unread: tuple[str, ...] = field(default=())  # unknown keys
 
 
 def load(environ: Mapping[str, str], operator_file: str | None = None) -> Config:
-    """The configuration: NODE_CONFIG from the platform, then an operator's TOML over it.
+    """Load the configuration: the platform's NODE_CONFIG, overridden by an operator's TOML file.
 
-    ValueError says in one line what is missing or senseless, or which standing rules an operator breaks.
+    ValueError names in one line the missing or invalid key, or the standing rules that the operator's file
+    violates.
     """
     table: dict[str, Any] = {}
     if path := environ.get("NODE_CONFIG"):
@@ -111,9 +115,9 @@
             raise ValueError(f"NODE_CONFIG: {problem}") from problem
     if operator_file is not None:
         try:
-            own = tomllib.loads(Path(operator_file).read_text())
-            check_standing(own, table)
-            table |= own
+            operator_table = tomllib.loads(Path(operator_file).read_text())
+            check_operator_table(operator_table, table)
+            table |= operator_table
         except OSError as problem:
             raise ValueError(f"operator file: {problem}") from problem
     if not table:
@@ -123,18 +127,22 @@
     return read(table, environ)
 
 
-def check_standing(own: dict[str, Any], platform: dict[str, Any]) -> None:
-    """An operator's own table must keep the standing rules; the platform's figures are the contract."""
-    from capershelf.stream import standing  # only where an operator's file is read
+def check_operator_table(operator_table: dict[str, Any], platform: dict[str, Any]) -> None:
+    """Check an operator's table against the standing rules; ValueError lists the violations.
+
+    The contract comes from the platform's table.
+    """
+    from capershelf.stream import standing  # imported only if there is an operator's file
 
     settings = platform.get("settings")
     contract = settings.get("contract") if isinstance(settings, dict) else None
-    if offences := standing.check(own, contract):
-        raise ValueError("; ".join(map(str, offences)))
+    if violations := standing.check(operator_table, contract):
+        raise ValueError("; ".join(map(str, violations)))
 
 
 def read(table: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    info = _need(table, "", "settings")
+    """Build the configuration from a parsed table; ValueError names a missing or invalid key."""
+    settings = _require(table, "", "settings")
     planners = int(_number(table, "", "planners", 1.0))
     if not 1 <= planners <= 4:
         raise ValueError("planners must be 1 to 4: each holds one link to each booking server")
@@ -144,15 +152,15 @@
     except (TypeError, ValueError):
         raise ValueError(f"seed must be hex digits, not {seed!r}") from None
     websocket = eureka = None
-    if (ws := table.get("websocket")) is not None:
-        websocket = WebSocketFront(str(_need(ws, "websocket.", "listen")))
-    if (eu := table.get("eureka")) is not None:
+    if (websocket_table := table.get("websocket")) is not None:
+        websocket = WebSocketFront(str(_require(websocket_table, "websocket.", "listen")))
+    if (eureka_table := table.get("eureka")) is not None:
         eureka = EurekaRegistry(
-            str(_need(eu, "eureka.", "url")),
-            str(_need(eu, "eureka.", "app")),
-            str(eu.get("own-app", "")),
-            _number(eu, "eureka.", "fetch", 5000.0),
-            _number(eu, "eureka.", "renew", 30000.0),
+            str(_require(eureka_table, "eureka.", "url")),
+            str(_require(eureka_table, "eureka.", "app")),
+            str(eureka_table.get("own-app", "")),
+            _number(eureka_table, "eureka.", "fetch", 5000.0),
+            _number(eureka_table, "eureka.", "renew", 30000.0),
         )
     memory = read_memory(table["memory"]) if "memory" in table else None
     stream = read_stream(table["stream"]) if "stream" in table else None
@@ -163,10 +171,10 @@
         and stream.folder
         and (Path(memory.folder).resolve() == Path(stream.folder).resolve())
     ):
-        raise ValueError("memory.folder and stream.folder must be two: each is locked by its owner")
+        raise ValueError("memory.folder and stream.folder must differ: each is locked by its owner")
     if eureka is not None and table.get("board"):
         raise ValueError("board and eureka are both set: one registry lists the booking servers")
-    known = {
+    known_keys = {
         "name",
         "listen",
         "seed",
@@ -189,8 +197,8 @@
         memory_mb=_number(table.get("limits") or {}, "limits.", "memory_mb", 1024.0),
         board=str(table.get("board") or ""),
         known=table.get("known") or {"rev": 0, "notices": []},
-        settings=read_settings(info),
-        connect_ms=_number(_need(info, "settings.", "bounds"), "bounds.", "connect-timeout", 500.0),
+        settings=read_settings(settings),
+        connect_ms=_number(_require(settings, "settings.", "bounds"), "bounds.", "connect-timeout", 500.0),
         planners=planners,
         websocket=websocket,
         eureka=eureka,
@@ -198,29 +206,29 @@
         stream=stream,
         subset=subset,
         table=table,
-        unread=tuple(sorted(set(table) - known)),
+        unread=tuple(sorted(set(table) - known_keys)),
     )
 
 
 def read_memory(table: Any) -> MemorySettings:
-    """The [memory] table; times in milliseconds.  ValueError names what is missing, unknown or senseless."""
-    folder = _need(table, "memory.", "folder")
+    """Read the [memory] table; times in milliseconds.  ValueError names a missing, unknown or invalid key."""
+    folder = _require(table, "memory.", "folder")
     if not isinstance(folder, str) or not folder:
         raise ValueError(f"settings: memory.folder must be a path, not {folder!r}")
     times = {field.name: field.default for field in fields(MemorySettings) if field.name.endswith("_ms")}
     names = {name.removesuffix("_ms").replace("_", "-"): name for name in times}
     if unknown := sorted(set(table) - set(names) - {"folder", "key-file"}):
         raise ValueError(f"settings: memory.{unknown[0]} is not a setting")
-    given = {name: _number(table, "memory.", key, float(str(times[name]))) for key, name in names.items()}
+    values = {name: _number(table, "memory.", key, float(str(times[name]))) for key, name in names.items()}
     for key, name in names.items():
-        if not 0 <= given[name] < float("inf") or name == "period_ms" and given[name] < 100:
-            raise ValueError(f"settings: memory.{key} makes no sense: {given[name]:g} ms")
-    return MemorySettings(folder, str(table.get("key-file", "")), **given)
+        if not 0 <= values[name] < float("inf") or name == "period_ms" and values[name] < 100:
+            raise ValueError(f"settings: memory.{key} makes no sense: {values[name]:g} ms")
+    return MemorySettings(folder, str(table.get("key-file", "")), **values)
 
 
 def read_subset(table: Any) -> SubsetSettings:
-    """The [subset] table; ValueError names what is missing, unknown or too small."""
-    from capershelf.subset import check_size  # only where it is turned on
+    """Read the [subset] table; ValueError names a key that is missing, unknown or too small."""
+    from capershelf.subset import check_size  # imported only if subsetting is enabled
 
     size = _number(table, "subset.", "size")
     if unknown := sorted(set(table) - {"size"}):
@@ -232,81 +240,92 @@
 
 
 def read_stream(table: Any) -> StreamSettings:
-    """The [stream] table; ValueError names what is missing, unknown or senseless."""
-    services = _need(table, "stream.", "services")
-    if not isinstance(services, list) or not services or not all(isinstance(one, str) for one in services):
+    """Read the [stream] table; ValueError names a missing, unknown or invalid key."""
+    services = _require(table, "stream.", "services")
+    if (
+        not isinstance(services, list)
+        or not services
+        or not all(isinstance(service, str) for service in services)
+    ):
         raise ValueError(f"settings: stream.services must be a list of addresses, not {services!r}")
-    texts = {name.replace("_", "-"): name for name in ("folder", "keys", "ca", "certificate", "key_file")}
-    if unknown := sorted(set(table) - set(texts) - {"services", "strict", "probation", "margin", "least"}):
+    path_names = {
+        name.replace("_", "-"): name for name in ("folder", "keys", "ca", "certificate", "key_file")
+    }
+    if unknown := sorted(
+        set(table) - set(path_names) - {"services", "strict", "probation", "margin", "least"}
+    ):
         raise ValueError(f"settings: stream.{unknown[0]} is not a setting")
-    given = {name: table.get(key, "") for key, name in texts.items()}
-    for key, name in texts.items():
-        if not isinstance(given[name], str):
-            raise ValueError(f"settings: stream.{key} must be a path, not {given[name]!r}")
+    values = {name: table.get(key, "") for key, name in path_names.items()}
+    for key, name in path_names.items():
+        if not isinstance(values[name], str):
+            raise ValueError(f"settings: stream.{key} must be a path, not {values[name]!r}")
     return StreamSettings(
         tuple(services),
         strict=bool(table.get("strict", False)),
         probation_ms=_number(table, "stream.", "probation", 0.0),
-        margin=_number(table, "stream.", "margin", 0.2),
-        least=int(_number(table, "stream.", "least", 50.0)),
-        **given,
+        probation_margin=_number(table, "stream.", "margin", 0.2),
+        probation_min_outcomes=int(_number(table, "stream.", "least", 50.0)),
+        **values,
     )
 
 
-def _need(table: dict[str, Any], path: str, key: str) -> Any:
+def _require(table: dict[str, Any], path: str, key: str) -> Any:
     if not isinstance(table, dict) or key not in table:
         raise ValueError(f"settings lack {path}{key}")
     return table[key]
 
 
-def _places(family: dict[str, Any], index: int) -> frozenset[int] | None:
-    """The places that calls of this class may go to; None where the settings name none."""
-    pools = family.get("pools-by-class") or []
-    if index >= len(pools):
+def _allowed_pools(family: dict[str, Any], index: int) -> frozenset[int] | None:
+    """The pools that calls of this class may be sent to; None if the settings do not restrict them."""
+    pools_by_class = family.get("pools-by-class") or []
+    if index >= len(pools_by_class):
         return None
-    pool = pools[index]
-    if not isinstance(pool, list) or not all(type(place) is int for place in pool):
+    pools = pools_by_class[index]
+    if not isinstance(pools, list) or not all(type(pool) is int for pool in pools):
         raise ValueError(f"settings: family-info.pools-by-class[{index}] must be a list of whole numbers")
-    return frozenset(pool)
+    return frozenset(pools)
 
 
 def _number(table: dict[str, Any], path: str, key: str, default: float | None = None) -> float:
-    value = _need(table, path, key) if default is None else table.get(key, default)
+    value = _require(table, path, key) if default is None else table.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError(f"settings: {path}{key} must be a number, not {value!r}")
     return float(value)
 
 
-def read_settings(info: dict[str, Any]) -> api.Settings:
-    """The wire's settings as the project's own; ValueError names a key that is missing or senseless."""
-    family = _need(info, "", "family-info")
+def read_settings(info: dict[str, Any]) -> Settings:
+    """Convert the platform's settings to Settings; ValueError names a missing or invalid key."""
+    family = _require(info, "", "family-info")
     if family.get("topology", "groups") != "groups":
         raise ValueError("settings: family-info.topology must be groups")
-    bounds, contract = _need(info, "", "bounds"), _need(info, "", "contract")
+    bounds, contract = _require(info, "", "bounds"), _require(info, "", "contract")
     widths = family.get("channels-needed") or []
     lengths = family.get("call-length") or []
     classes = []
-    for index, entry in enumerate(_need(info, "", "categories")):
+    for index, entry in enumerate(_require(info, "", "categories")):
         path = f"categories[{index}]."
         classes.append(
-            api.CallClass(
-                name=str(_need(entry, path, "name")),
+            CallClass(
+                name=str(_require(entry, path, "name")),
                 aim_ms=_number(entry, path, "aim"),
                 deadline_ms=_number(entry, path, "deadline"),
                 worth=_number(entry, path, "credit", 1.0),
                 late_worth=_number(entry, path, "late-worth", 0.0),
-                pools=_places(family, index),
+                pools=_allowed_pools(family, index),
                 width=int(widths[index]) if index < len(widths) else 1,
                 hold_ms=_number({"": lengths[index]}, path, "") if index < len(lengths) else None,
             )
         )
     telemetry = info.get("telemetry") or {}
-    advice = bool(bounds.get("retry-after", False))
+    advises_retry = bool(bounds.get("retry-after", False))
     tenants = tuple(
-        api.Tenant(str(_need(t, f"tenants[{i}].", "name")), _number(t, f"tenants[{i}].", "quota-per-s"))
-        for i, t in enumerate(info.get("tenants") or [])
+        Tenant(
+            str(_require(entry, f"tenants[{index}].", "name")),
+            _number(entry, f"tenants[{index}].", "quota-per-s"),
+        )
+        for index, entry in enumerate(info.get("tenants") or [])
     )
-    return api.Settings(
+    return Settings(
         gateway_no=int(_number(info, "", "slot-no")),
         gateway_count=int(_number(info, "", "group-size")),
         classes=tuple(classes),
@@ -324,7 +343,9 @@
         over_quota_worth=_number(info, "", "over-share-worth", 1.0),
         may_cancel=bool(bounds.get("cancel", False)),
         may_probe=bool(bounds.get("may-probe", False)),
-        max_retry_after_ms=_number(bounds, "bounds.", "max-retry-after", 0.0) if advice else 0.0,
-        load_report_source=REPORTS.get(str(telemetry.get("via", "silent")), api.LoadReportSource.NONE),
+        max_retry_after_ms=_number(bounds, "bounds.", "max-retry-after", 0.0) if advises_retry else 0.0,
+        load_report_source=LOAD_REPORT_SOURCES.get(
+            str(telemetry.get("via", "silent")), LoadReportSource.NONE
+        ),
         reports_wait=bool(family.get("says-wait", False)),
     )
--- a/capershelf/logs.py
+++ b/capershelf/logs.py
@@ -1,6 +1,6 @@
-"""The log: for people as text, for programs as one JSON object a line (docs/logging.md).
+"""Logging, as text or as one JSON object per line (docs/logging.md).
 
-Every line has an event, which names its kind and stays the same over releases, and fields of its own.
+Every line has an event, a name for its kind that is stable across releases, and fields of its own.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-TEXT = "{time:HH:mm:ss.SSS} {level: <7} {message}"
+TEXT_FORMAT = "{time:HH:mm:ss.SSS} {level: <7} {message}"
 FORMATS = ("text", "json")
 
 
-def set_up(level: str, form: str = "text") -> None:
-    """Lines of this level and above to standard error; ValueError for a level or form that is not known."""
+def configure(level: str, output_format: str = "text") -> None:
+    """Log lines of this level and above to standard error; ValueError for an unknown level or format."""
     logger.remove()
-    if form == "json":
-        logger.add(Lines(sys.stderr), level=level, backtrace=False, diagnose=False, format="{message}")
-    elif form == "text":
-        logger.add(sys.stderr, level=level, backtrace=False, diagnose=False, format=TEXT)
+    if output_format == "json":
+        logger.add(JsonSink(sys.stderr), level=level, backtrace=False, diagnose=False, format="{message}")
+    elif output_format == "text":
+        logger.add(sys.stderr, level=level, backtrace=False, diagnose=False, format=TEXT_FORMAT)
     else:
-        raise ValueError(f"log format {form!r}: {' or '.join(FORMATS)}")
+        raise ValueError(f"log format {output_format!r}: {' or '.join(FORMATS)}")
 
 
-class Lines:
-    """A sink of JSON lines; a field that is no plain value is written as its text."""
+class JsonSink:
+    """Writes JSON lines; a field that has no JSON type is written as a string."""
 
-    def __init__(self, out: TextIO) -> None:
-        self._out = out
+    def __init__(self, output: TextIO) -> None:
+        self._output = output
 
     def __call__(self, message: Message) -> None:
         record = message.record
@@ -45,8 +45,8 @@
         }
         line |= {key: value for key, value in record["extra"].items() if key not in ("time", "level")}
         line["message"] = record["message"]
-        if (fault := record["exception"]) is not None:
-            line["fault"] = f"{fault.type.__name__ if fault.type else 'unknown'}: {fault.value}"
+        if (exception := record["exception"]) is not None:
+            line["fault"] = f"{exception.type.__name__ if exception.type else 'unknown'}: {exception.value}"
             line["traceback"] = str(message)[len(record["message"]) :].strip()
-        self._out.write(json.dumps(line, default=str, ensure_ascii=False) + "\n")
-        self._out.flush()
+        self._output.write(json.dumps(line, default=str, ensure_ascii=False) + "\n")
+        self._output.flush()
--- a/capershelf/signals.py
+++ b/capershelf/signals.py
@@ -1,4 +1,4 @@
-"""Signals as a queue: a pipe that the interpreter itself writes each signal's number into."""
+"""Signals as a queue: a pipe that the interpreter writes the number of each signal to."""
 
 from __future__ import annotations
 
@@ -6,26 +6,27 @@
 import signal
 from collections.abc import Iterable
 
-OVER = 0  # what a thread of the program's own puts in; no signal has this number
+STOPPED = 0  # put by the thread that has stopped the proxy; no signal has this number
 
 
 class Signals:
-    """Takes these signals from here on, on whichever thread the system delivers them.
+    """Queues the given signals, whichever thread the system delivers them to.
 
-    Guards against a signal that nobody hears: a handler in Python runs on the main thread only, and that does
-    not wake up from a queue for one that another thread was interrupted by.  The pipe is written at once.
+    A signal handler in Python runs on the main thread only, and a main thread that blocks on a queue does not
+    wake up for a signal that interrupted another thread.  The wake-up pipe is written on delivery.
     """
 
     def __init__(self, numbers: Iterable[int]) -> None:
         self._reader, self._writer = os.pipe()
-        os.set_blocking(self._writer, False)  # a full pipe holds more signals than anyone has to obey
+        os.set_blocking(self._writer, False)  # a full pipe already holds far more signals than need handling
         for number in numbers:
-            signal.signal(number, lambda told, _: None)
+            signal.signal(number, lambda received, _: None)
         signal.set_wakeup_fd(self._writer, warn_on_full_buffer=False)
 
     def take(self) -> int:
-        """The number of the next signal, or what was put in; waits for it."""
+        """Wait for the next signal, or the next call of put, and return its number."""
         return os.read(self._reader, 1)[0]
 
     def put(self, number: int) -> None:
+        """Add a number to the queue."""
         os.write(self._writer, bytes([number]))
--- a/capershelf/stream/follower.py
+++ b/capershelf/stream/follower.py
@@ -329,7 +329,11 @@
         )
         self._carry_out(self._end.taken(arrived, found.notes))
         if self._settings.probation_ms > 0:
-            terms = Terms(self._settings.probation_ms, self._settings.margin, self._settings.least)
+            terms = Terms(
+                self._settings.probation_ms,
+                self._settings.probation_margin,
+                self._settings.probation_min_outcomes,
+            )
             self._probation = Probation(terms, self._clock.now_ms(), before)
 
     def _save(self) -> None:
--- a/tests/test_logging.py
+++ b/tests/test_logging.py
@@ -58,7 +58,9 @@
 
 def test_json_lines_hold_event_fields_and_faults() -> None:
     out = io.StringIO()
-    number = logger.add(logs.Lines(out), level="DEBUG", backtrace=False, diagnose=False, format="{message}")
+    number = logger.add(
+        logs.JsonSink(out), level="DEBUG", backtrace=False, diagnose=False, format="{message}"
+    )
     try:
         logger.info("call {call}: {what!r}", event="call-test", call="a1", what=Path("x"))
         try:
@@ -76,9 +78,9 @@
 
 def test_serve_writes_json_lines_and_refuses_what_it_does_not_know() -> None:
     with pytest.raises(ValueError, match="text or json"):
-        logs.set_up("INFO", "xml")
+        logs.configure("INFO", "xml")
     code = (
-        "from capershelf import logs; from loguru import logger; logs.set_up('INFO', 'json'); "
+        "from capershelf import logs; from loguru import logger; logs.configure('INFO', 'json'); "
         "logger.debug('no', event='x'); logger.info('yes', event='y')"
     )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/test_memory_running.py
+++ b/tests/test_memory_running.py
@@ -173,7 +173,7 @@
 def test_memory_and_stream_do_not_share_a_folder() -> None:
     """They would lock each other out, and the proxy start without what it had kept."""
     both = {"memory": {"folder": "x"}, "stream": {"services": ["127.0.0.1:1"], "folder": "./x"}}
-    with pytest.raises(ValueError, match="must be two"):
+    with pytest.raises(ValueError, match="must differ"):
         configuration.read(table("") | both, {})
 
 
