--- a/capershelf/__main__.py
+++ b/capershelf/__main__.py
@@ -1,4 +1,4 @@
-"""python -m capershelf"""
+"""Entry point of `python -m capershelf`."""
 
 from capershelf.cli import main
 
--- a/capershelf/benchlink.py
+++ b/capershelf/benchlink.py
@@ -1,4 +1,4 @@
-"""The bench's wire on standard input and output; translates only, decides nothing.
+"""Adapter for the simulator's line protocol on standard input and output; it translates and decides nothing.
 
 Run as ``python -m capershelf.benchlink``.
 """
@@ -10,154 +10,202 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from capershelf import interface as api
 from capershelf.config import read_settings
 from capershelf.control import Controller
+from capershelf.interface import (
+    Action,
+    AttemptEnded,
+    AttemptSucceeded,
+    CallAbandoned,
+    Cancel,
+    Event,
+    Fail,
+    ListedServer,
+    LoadReport,
+    Log,
+    NewCall,
+    Probe,
+    RefusalReason,
+    Refuse,
+    Result,
+    Send,
+    ServerList,
+    ServerReport,
+    ServerStatus,
+    SetTimer,
+    TimerFired,
+)
 
 RESULTS = {
-    "pass": api.Result.OK,
-    "fault": api.Result.ERROR,
-    "no_room": api.Result.FULL,
-    "too_slow": api.Result.TIMEOUT,
-    "no_route": api.Result.NO_CONNECTION,
-    "cut": api.Result.RESET,
-    "undone": api.Result.CANCELLED,
-    "stale_send": api.Result.NOT_SENT,
+    "pass": Result.OK,
+    "fault": Result.ERROR,
+    "no_room": Result.FULL,
+    "too_slow": Result.TIMEOUT,
+    "no_route": Result.NO_CONNECTION,
+    "cut": Result.RESET,
+    "undone": Result.CANCELLED,
+    "stale_send": Result.NOT_SENT,
 }
-STANDINGS = {
-    "active": api.ServerStatus.ACTIVE,
-    "leaving": api.ServerStatus.DRAINING,
-    "left": api.ServerStatus.REMOVED,
+SERVER_STATUSES = {
+    "active": ServerStatus.ACTIVE,
+    "leaving": ServerStatus.DRAINING,
+    "left": ServerStatus.REMOVED,
 }
-WHYS = {1: api.RefusalReason.NO_LINE, 3: api.RefusalReason.PROCESSOR_FULL, 4: api.RefusalReason.NUMBER_BUSY}
-EMPTY = api.LoadReport()
+REFUSAL_REASONS = {
+    1: RefusalReason.NO_LINE,
+    3: RefusalReason.PROCESSOR_FULL,
+    4: RefusalReason.NUMBER_BUSY,
+}
+EMPTY_REPORT = LoadReport()
 
 
 class WireError(Exception):
-    """A line that is not of the wire."""
+    """A line that violates the protocol."""
 
 
-def read_report(text: str) -> api.LoadReport:
-    """A load report; fields that are unknown or negative count as not given."""
+def parse_report(text: str) -> LoadReport:
+    """Parse a load report; unknown and negative fields count as absent."""
     if text == "-":
-        return EMPTY
-    found: dict[str, float] = {}
+        return EMPTY_REPORT
+    values: dict[str, float] = {}
     for pair in text.split(","):
         name, _, value = pair.partition(":")
         number = float(value)
         if number >= 0:
-            found[name] = number
-    return api.LoadReport.from_fields(found)
+            values[name] = number
+    return LoadReport.from_fields(values)
 
 
 class Adapter:
-    """Hosts one controller for each instance and turns wire lines into events."""
+    """Runs one controller per instance and converts lines to events and actions to lines."""
 
     def __init__(self) -> None:
         self.controllers: dict[int, Controller] = {}
-        self.sheets: dict[int, tuple[api.ListedServer, ...]] = {}
+        self.server_lists: dict[int, tuple[ListedServer, ...]] = {}
+
+    def parse_event(self, parts: list[str], lines: Iterator[str]) -> tuple[int, Event] | None:
+        """Return the instance and the event of a line.
 
-    def event(self, parts: list[str], lines: Iterator[str]) -> tuple[int, api.Event] | None:
-        """The event in a line; a start, a stop or a sheet is dealt with here."""
-        verb = parts[0]
-        if verb == "sheet":
-            self.sheets[int(parts[1])] = tuple(self._entry(next(lines)) for _ in range(int(parts[2])))
+        None for a line without an event; a launch, a shutdown or a sheet is processed here.
+        """
+        kind = parts[0]
+        if kind == "sheet":
+            self.server_lists[int(parts[1])] = tuple(
+                self._parse_entry(next(lines)) for _ in range(int(parts[2]))
+            )
             return None
-        who = int(parts[1])
-        if verb == "launch":
-            self.controllers[who] = Controller(read_settings(json.loads(" ".join(parts[3:]))), int(parts[2]))
+        instance = int(parts[1])
+        if kind == "launch":
+            self.controllers[instance] = Controller(
+                read_settings(json.loads(" ".join(parts[3:]))), int(parts[2])
+            )
             return None
-        if verb == "shutdown":
-            self.controllers.pop(who, None)
+        if kind == "shutdown":
+            self.controllers.pop(instance, None)
             return None
-        if verb == "ingress":
-            _, _, call, expires, profile, far_end, _, _, org, number, width, _ = parts
+        if kind == "ingress":
+            _, _, call, expires, class_name, preferred_pool, _, _, org, number, width, _ = parts
             tenant = None if org == "-" else org
-            return who, api.NewCall(
-                int(call), float(expires), profile, int(float(far_end)), number, tenant, int(float(width))
+            return instance, NewCall(
+                int(call),
+                float(expires),
+                class_name,
+                int(float(preferred_pool)),
+                number,
+                tenant,
+                int(float(width)),
             )
-        if verb == "alarm":
-            return who, api.TimerFired(parts[2])
-        if verb == "ack_first":
-            return who, api.AttemptSucceeded(int(parts[2]), int(parts[3]), parts[4], float(parts[5]))
-        if verb == "completed":
-            _, _, call, reason, settled, note, _, server, attempt, pressure = parts
+        if kind == "alarm":
+            return instance, TimerFired(parts[2])
+        if kind == "ack_first":
+            return instance, AttemptSucceeded(int(parts[2]), int(parts[3]), parts[4], float(parts[5]))
+        if kind == "completed":
+            _, _, call, result_name, finished, note, _, server, attempt, load = parts
             code = 0 if note == "-" else int(float(note))
-            stated = float(code >> 4) if code & 15 == 3 and code > 15 else None
-            why = WHYS.get(code & 15, api.RefusalReason.UNSPECIFIED)
-            report = None if pressure == "-" else read_report(pressure)
-            over = api.AttemptEnded(
-                int(call), int(attempt), server, RESULTS[reason], settled == "1", why, stated, report
+            reported_wait_ms = float(code >> 4) if code & 15 == 3 and code > 15 else None
+            reason = REFUSAL_REASONS.get(code & 15, RefusalReason.UNSPECIFIED)
+            report = None if load == "-" else parse_report(load)
+            ended = AttemptEnded(
+                int(call),
+                int(attempt),
+                server,
+                RESULTS[result_name],
+                finished == "1",
+                reason,
+                reported_wait_ms,
+                report,
             )
-            return who, over
-        if verb == "client_gone":
-            return who, api.CallAbandoned(int(parts[2]))
-        if verb == "health":
+            return instance, ended
+        if kind == "client_gone":
+            return instance, CallAbandoned(int(parts[2]))
+        if kind == "health":
             wait_ms = float(parts[4])
             result = RESULTS[parts[3]]
-            asked = result is not api.Result.OK or wait_ms > 0
-            return who, api.ServerReport(parts[2], result, read_report(parts[5]), asked)
-        if verb == "announce":
+            is_probe = result is not Result.OK or wait_ms > 0
+            return instance, ServerReport(parts[2], result, parse_report(parts[5]), is_probe)
+        if kind == "announce":
             form = parts[4]
             if form == "unavailable":
                 return None
-            whole = form != "update"
-            return who, api.ServerList(int(parts[2]), whole, self.sheets[int(parts[3])], form == "restored")
-        if verb == "note_from":
+            complete = form != "update"
+            return instance, ServerList(
+                int(parts[2]), complete, self.server_lists[int(parts[3])], form == "restored"
+            )
+        if kind == "note_from":
             return None
-        raise WireError(f"unknown message {verb!r}")
+        raise WireError(f"unknown message {kind!r}")
 
     @staticmethod
-    def _entry(line: str) -> api.ListedServer:
-        word, server, _, _, place, status, _, started = line.split(" ")
-        if word != "switch":
+    def _parse_entry(line: str) -> ListedServer:
+        kind, server, _, _, pool, status, _, started = line.split(" ")
+        if kind != "switch":
             raise WireError("a sheet's entry must begin with 'switch'")
         started_ms = None if started in ("-", "0", "0.0") else float(started)
-        return api.ListedServer(server, int(place), STANDINGS[status], started_ms)
+        return ListedServer(server, int(pool), SERVER_STATUSES[status], started_ms)
 
-    def batch(self, now_ms: float, lines: Iterator[str]) -> Iterator[str]:
-        """The reply's lines to one batch, without the last."""
+    def handle_batch(self, now_ms: float, lines: Iterator[str]) -> Iterator[str]:
+        """Process one batch; yields the lines of the reply except the final `end`."""
         for line in lines:
             if line == "your_turn":
                 return
             try:
-                found = self.event(line.split(" "), lines)
+                parsed = self.parse_event(line.split(" "), lines)
             except StopIteration:
                 raise WireError("input ended within a sheet") from None
             except (ValueError, KeyError, IndexError, WireError, AttributeError, TypeError) as problem:
                 raise WireError(f"bad line {line!r}: {problem}") from problem
-            if found is None:
+            if parsed is None:
                 continue
-            who, event = found
-            controller = self.controllers.get(who)
+            instance, event = parsed
+            controller = self.controllers.get(instance)
             if controller is None:
-                raise WireError(f"bad line {line!r}: instance {who} is not running")
+                raise WireError(f"bad line {line!r}: instance {instance} is not running")
             for action in controller.handle(now_ms, event):
-                yield self.action(who, action)
+                yield self.format_action(instance, action)
         raise WireError("input ended within a batch")
 
     @staticmethod
-    def action(who: int, action: api.Action) -> str:
-        """An action as a line of the wire."""
+    def format_action(instance: int, action: Action) -> str:
+        """Return the line for an action."""
         match action:
-            case api.Send(call, server, timeout_ms, _):
-                return f"issue {who} {call} {server} {timeout_ms:.3f}"
-            case api.Refuse(call, stay_away_ms):
-                return f"turn_away {who} {call} {stay_away_ms:.3f}"
-            case api.Fail(call):
-                return f"error {who} {call}"
-            case api.Cancel(call, attempt):
-                return f"abort_attempt {who} {call} {attempt}"
-            case api.Probe(server):
-                return f"inspect {who} {server}"
-            case api.SetTimer(delay_ms, name):
-                return f"arm {who} {delay_ms:.3f} {name}"
-            case api.Log(text, _):
-                return f"debug {who} {text}"
+            case Send(call, server, timeout_ms, _):
+                return f"issue {instance} {call} {server} {timeout_ms:.3f}"
+            case Refuse(call, retry_after_ms):
+                return f"turn_away {instance} {call} {retry_after_ms:.3f}"
+            case Fail(call):
+                return f"error {instance} {call}"
+            case Cancel(call, attempt):
+                return f"abort_attempt {instance} {call} {attempt}"
+            case Probe(server):
+                return f"inspect {instance} {server}"
+            case SetTimer(delay_ms, name):
+                return f"arm {instance} {delay_ms:.3f} {name}"
+            case Log(text, _):
+                return f"debug {instance} {text}"
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer batches until the input ends; WireError for a malformed line."""
     adapter = Adapter()
     lines = (line.rstrip("\n") for line in source)
     for line in lines:
@@ -170,14 +218,14 @@
             now_ms = float(parts[1])
         except ValueError:
             raise WireError(f"bad line {line!r}: the clock is not a number") from None
-        reply = list(adapter.batch(now_ms, lines))
+        reply = list(adapter.handle_batch(now_ms, lines))
         reply.append(f"end {parts[2]}\n")
         sink.write("\n".join(reply))
         sink.flush()
 
 
 def main() -> int:
-    """Run the adapter; 0 at the end of input, 1 after a plain message on what was malformed."""
+    """Run the adapter; returns 0 at the end of input, 1 after an error message for malformed input."""
     try:
         serve(sys.stdin, sys.stdout)
     except (WireError, ValueError) as problem:
--- a/capershelf/release.py
+++ b/capershelf/release.py
@@ -1,3 +1,3 @@
-"""The release's number: in files that it writes, and for `capershelf version`."""
+"""The version number: recorded in files that the program writes and printed by `capershelf version`."""
 
 VERSION = "0.2.0"
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter as a process of its own: replies, malformed lines, the end of input."""
+"""The simulator adapter as a separate process: replies, malformed lines, end of input."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     "line",
     ["nonsense 3", "ingress 3 42", "completed 3 1 what 0 - 1 s 0 -", "announce 3 2 9 update", "alarm 9 tick"],
 )
-def test_a_malformed_line_gets_one_plain_message_and_a_non_zero_exit(line: str) -> None:
+def test_a_malformed_line_gets_a_one_line_error_and_a_non_zero_exit(line: str) -> None:
     done = run(START + line + "\nyour_turn\n")
     assert done.returncode != 0
     assert done.stderr.count("\n") == 1
@@ -74,7 +74,7 @@
     assert not found.may_probe
 
 
-def test_a_restart_forgets_the_life_before() -> None:
+def test_a_restarted_instance_has_no_state_of_its_previous_run() -> None:
     call = "ingress 3 42 3005 usual 0 - 0 - num:a 1 -1\n"
     again = f"shutdown 3\nlaunch 3 8 {json.dumps(INFO)}\nannounce 3 1 0 restored\n"
     again += "completed 3 42 cut 0 - 9 10.0.0.1:80 0 -\n"
