--- a/capershelf/commands/__init__.py
+++ b/capershelf/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' commands beside `serve`, a module for each concern; each imported only when asked for."""
+"""Operators' commands other than `serve`, one module per group; each is imported only on use."""
--- a/examples/toy_booking_server.py
+++ b/examples/toy_booking_server.py
@@ -1,4 +1,4 @@
-"""A toy booking server: answers set-ups, ends calls after a while, and can be made to refuse.
+"""An example booking server: answers set-ups, ends calls after a fixed time and refuses a share of set-ups.
 
 python examples/toy_booking_server.py --listen 127.0.0.1:7001
 python examples/toy_booking_server.py --listen 127.0.0.1:7002 --websocket --refuse 0.3
@@ -21,73 +21,95 @@
 from capershelf.net.websocket import WebSocket
 
 CLOCK = SystemClock()
+HANDSHAKE_TIMEOUT_MS = 3000.0
 
 
-class Toy:
-    """One connection from a proxy."""
+class ProxyConnection:
+    """A connection from one proxy and the calls on it."""
 
     def __init__(
-        self, sock: socket.socket, framing: Framing, hold_s: float, refuse: float, lines: int
+        self, sock: socket.socket, framing: Framing, hold_s: float, refused_share: float, capacity: int
     ) -> None:
-        self.hold_s, self.refuse, self.lines = hold_s, refuse, lines
+        self.hold_s = hold_s
+        self.refused_share = refused_share
+        self.capacity = capacity
         self.calls: dict[str, threading.Timer] = {}
         self.connection = Connection(
-            sock, framing, self.message, self.closed, "proxy", CLOCK, CLOCK.now_ms() + 3000.0, self.state
+            sock,
+            framing,
+            self.on_message,
+            self.on_closed,
+            "proxy",
+            CLOCK,
+            CLOCK.now_ms() + HANDSHAKE_TIMEOUT_MS,
+            self.on_opened,
         )
         self.connection.start()
 
-    def say(self, kind: str, call_id: str, **more: Any) -> None:
+    def send(self, kind: str, call_id: str, **more: Any) -> None:
+        """Send one message."""
         self.connection.post(json.dumps({"type": kind, "id": call_id, "fields": {}} | more).encode())
 
-    def load(self) -> dict[str, str]:
-        return {"load": f"spare:{self.lines - len(self.calls)};total:{self.lines};allowed:100"}
+    def load_report(self) -> dict[str, str]:
+        """The fields that report this server's load."""
+        return {"load": f"spare:{self.capacity - len(self.calls)};total:{self.capacity};allowed:100"}
 
-    def state(self) -> None:
-        self.say("state", "0" * 16, fields=self.load())
+    def on_opened(self) -> None:
+        """Report the load once the connection is open."""
+        self.send("state", "0" * 16, fields=self.load_report())
 
-    def message(self, line: bytes) -> None:
+    def on_message(self, line: bytes) -> None:
+        """Handle one message from the proxy."""
         message = json.loads(line)
         kind, call_id = message["type"], message["id"]
         if kind == "ping":
-            self.say("pong", call_id, cause=1, fields=self.load())
+            self.send("pong", call_id, cause=1, fields=self.load_report())
         elif kind == "release":
             if (timer := self.calls.pop(call_id, None)) is not None:
                 timer.cancel()
                 click.echo(f"{call_id} released by the proxy")
-            self.say("released", call_id)
+            self.send("released", call_id)
         elif kind == "setup":
-            if random.random() < self.refuse or len(self.calls) >= self.lines:
+            if random.random() < self.refused_share or len(self.calls) >= self.capacity:
                 click.echo(f"{call_id} refused")
-                self.say("release", call_id, cause=34, fields={"note": "acc"} | self.load())
+                self.send("release", call_id, cause=34, fields={"note": "acc"} | self.load_report())
                 return
             fields = message["fields"]
-            click.echo(f"{call_id} {fields['class']} stands, {fields['left']} ms were left")
-            self.calls[call_id] = timer = threading.Timer(self.hold_s, self.end, [call_id])
+            click.echo(f"{call_id} {fields['class']} established, {fields['left']} ms before its deadline")
+            self.calls[call_id] = timer = threading.Timer(self.hold_s, self.end_call, [call_id])
             timer.daemon = True
             timer.start()
-            self.say("answer", call_id, sdp=f"v=0\r\ns={call_id}\r\n", fields=self.load())
+            self.send("answer", call_id, sdp=f"v=0\r\ns={call_id}\r\n", fields=self.load_report())
 
-    def end(self, call_id: str) -> None:
+    def end_call(self, call_id: str) -> None:
+        """End a call from this side."""
         if self.calls.pop(call_id, None) is not None:
-            click.echo(f"{call_id} came to its end")
-            self.say("release", call_id, cause=16)
+            click.echo(f"{call_id} ended")
+            self.send("release", call_id, cause=16)
 
-    def closed(self) -> None:
-        click.echo("the proxy has gone")
+    def on_closed(self) -> None:
+        """Log that the connection is closed."""
+        click.echo("connection closed by the proxy")
 
 
 @click.command()
 @click.option("--listen", default="127.0.0.1:7001", show_default=True)
 @click.option("--websocket", is_flag=True, help="Speak WebSocket instead of JSON lines.")
-@click.option("--hold", default=3.0, show_default=True, help="Seconds until a call comes to its end.")
-@click.option("--refuse", default=0.0, show_default=True, help="Share of set-ups refused as processor full.")
-@click.option("--lines", default=10, show_default=True, help="Calls that it can hold.")
+@click.option("--hold", default=3.0, show_default=True, help="Duration of a call in seconds.")
+@click.option(
+    "--refuse",
+    default=0.0,
+    show_default=True,
+    help="Share of set-ups refused for lack of processor capacity.",
+)
+@click.option("--lines", default=10, show_default=True, help="Number of simultaneous calls.")
 def main(listen: str, websocket: bool, hold: float, refuse: float, lines: int) -> None:
+    """Accept connections from proxies."""
     listener = socket.create_server(parse_endpoint(listen))
-    click.echo(f"toy booking server on {listen}")
+    click.echo(f"booking server listening on {listen}")
     while True:
         sock, _ = listener.accept()
-        Toy(sock, WebSocket() if websocket else Lines(), hold, refuse, lines)
+        ProxyConnection(sock, WebSocket() if websocket else Lines(), hold, refuse, lines)
 
 
 if __name__ == "__main__":
