--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""Several hundred booking servers under small limits: the program itself, as the platform starts it."""
+"""A proxy process with several hundred booking servers under low limits."""
 
 from __future__ import annotations
 
@@ -18,37 +18,39 @@
 from tests.peers import PATIENCE_S, Peer, until
 from tests.test_reload import BoardStandIn, Program, table
 
-SERVERS, SOCKETS, MEMORY_MB = 400, 256, 48
+SERVERS = 400
+SOCKETS = 256
+MEMORY_MB = 48
 
 
 class Fleet:
-    """Booking servers that one thread plays: each answers what it is sent and tells its state on opening."""
+    """Booking servers run by one thread: each answers every set-up and reports its load on connection."""
 
     def __init__(self, count: int) -> None:
         self.listeners = [socket.create_server(("127.0.0.1", 0), backlog=16) for _ in range(count)]
         self.endpoints = [f"127.0.0.1:{one.getsockname()[1]}" for one in self.listeners]
         self.peers: dict[int, tuple[int, socket.socket]] = {}
-        self.rest: dict[int, bytes] = {}
+        self.partial_lines: dict[int, bytes] = {}
         self.got: queue.SimpleQueue[tuple[int, dict[str, Any]]] = queue.SimpleQueue()
-        self.opened = 0
+        self.connections_accepted = 0
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
         poll = select.poll()
-        doors = {one.fileno(): number for number, one in enumerate(self.listeners)}
-        for door in doors:
-            poll.register(door, select.POLLIN)
+        number_of_listener = {listener.fileno(): number for number, listener in enumerate(self.listeners)}
+        for listener_fd in number_of_listener:
+            poll.register(listener_fd, select.POLLIN)
         while True:
             for fd, _ in poll.poll():
-                if fd in doors:
+                if fd in number_of_listener:
                     try:
-                        sock, _ = self.listeners[doors[fd]].accept()
-                    except OSError:  # the test has closed it
+                        sock, _ = self.listeners[number_of_listener[fd]].accept()
+                    except OSError:  # closed by the test
                         poll.unregister(fd)
                         continue
-                    self.opened += 1
-                    self.peers[sock.fileno()] = doors[fd], sock
-                    self.rest[sock.fileno()] = b""
+                    self.connections_accepted += 1
+                    self.peers[sock.fileno()] = number_of_listener[fd], sock
+                    self.partial_lines[sock.fileno()] = b""
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                     poll.register(sock, select.POLLIN)
                     sock.sendall(b'{"type":"state","id":"","fields":{"load":"spare:50;total:50"}}\n')
@@ -63,7 +65,7 @@
                     del self.peers[fd]
                     sock.close()
                     continue
-                *lines, self.rest[fd] = (self.rest[fd] + data).split(b"\n")
+                *lines, self.partial_lines[fd] = (self.partial_lines[fd] + data).split(b"\n")
                 for line in lines:
                     message = json.loads(line)
                     self.got.put((number, message))
@@ -79,11 +81,14 @@
     ]
 
 
-def notices(number: int, listed: list[dict[str, Any]], whole: bool) -> dict[str, Any]:
-    return {"rev": number, "notices": [{"rev": number, "pool": {"rev": 1, "all": whole, "targets": listed}}]}
+def notices(number: int, listed: list[dict[str, Any]], complete: bool) -> dict[str, Any]:
+    return {
+        "rev": number,
+        "notices": [{"rev": number, "pool": {"rev": 1, "all": complete, "targets": listed}}],
+    }
 
 
-def test_hundreds_of_servers_are_listed_linked_drained_and_stopped_under_small_limits(tmp_path: Path) -> None:
+def test_hundreds_of_servers_are_listed_linked_drained_and_stopped_under_low_limits(tmp_path: Path) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, 4 * SERVERS)), hard))
     fleet, board = Fleet(SERVERS), BoardStandIn()
@@ -94,8 +99,8 @@
         "known": notices(3, targets(fleet, {}), True),
         "limits": {"sockets": SOCKETS, "memory_mb": MEMORY_MB},
     }
-    places = list(range(SERVERS))
-    config["settings"]["family-info"]["pools-by-class"] = [places for _ in config["settings"]["categories"]]
+    pools = list(range(SERVERS))
+    config["settings"]["family-info"]["pools-by-class"] = [pools for _ in config["settings"]["categories"]]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     program = Program(path, sockets=SOCKETS)
@@ -104,10 +109,10 @@
         sock = socket.create_connection(parse_endpoint(listen))
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         caller = Peer(sock, Lines(), queue.SimpleQueue())
-        kind = config["settings"]["categories"][0]["name"]
+        call_class = config["settings"]["categories"][0]["name"]
 
-        def call(number: int, place: int) -> str:
-            fields = {"class": kind, "left": "5000", "key": f"k{number}", "extras": f"dest:{place}"}
+        def call(number: int, pool: int) -> str:
+            fields = {"class": call_class, "left": "5000", "key": f"k{number}", "extras": f"dest:{pool}"}
             caller.say("setup", f"{number:016x}", fields=fields, sdp=f"sdp {number}")
             assert caller.hear()["type"] == "answer"
             server, message = fleet.got.get(timeout=PATIENCE_S)
@@ -116,25 +121,25 @@
             assert fleet.got.get(timeout=PATIENCE_S)[1]["type"] == "release"
             return f"s{server}"
 
-        # Each server is the first choice of a call: links make room for each other.
+        # Each server is the preferred one of a call, so idle links are closed in favour of new ones.
         reached = [call(number, number) for number in range(SERVERS)]
         assert len(set(reached)) > SERVERS // 2
         status = Path(f"/proc/{program.process.pid}/status").read_text()
         threads, resident_kb = (
             int(status.split(f"{field}:")[1].split()[0]) for field in ("Threads", "VmRSS")
         )
-        assert threads < 16, "no thread for each server"
+        assert threads < 16, "one thread per server"
         assert resident_kb < MEMORY_MB * 1024
         assert len(os.listdir(f"/proc/{program.process.pid}/fd")) < SOCKETS
-        # All but ten drain: nothing new goes there, and their links are closed.
-        left = set(range(10))
-        gone = {n: "draining" for n in range(SERVERS) if n not in left}
-        drained = notices(4, [one for one in targets(fleet, gone) if one["state"] != "up"], False)
-        while board.poll(drained) != "4":  # polls that were given up meanwhile are answered too
+        # All but ten drain: they get no new calls and their links are closed.
+        remaining = set(range(10))
+        states = {n: "draining" for n in range(SERVERS) if n not in remaining}
+        drained = notices(4, [one for one in targets(fleet, states) if one["state"] != "up"], False)
+        while board.poll(drained) != "4":  # abandoned polls are answered too
             pass
-        until(lambda: {number for number, _ in list(fleet.peers.values())} <= left)
+        until(lambda: {number for number, _ in list(fleet.peers.values())} <= remaining)
         after = [call(SERVERS + number, number) for number in range(0, SERVERS, 20)]
-        assert set(after) <= {f"s{n}" for n in left}
+        assert set(after) <= {f"s{n}" for n in remaining}
         program.process.send_signal(signal.SIGTERM)
         assert program.process.wait(PATIENCE_S) == 0
         until(lambda: not fleet.peers)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP on the program itself: the board moves, the numbering goes on, a broken file changes nothing."""
+"""SIGHUP on a running proxy: the board moves, event numbers continue, an invalid file changes nothing."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class BoardStandIn:
-    """Keeps each poll open until the test answers it."""
+    """A notice board that keeps each poll open until the test answers it."""
 
     def __init__(self, port: int = 0) -> None:
         self.polls: queue.SimpleQueue[tuple[str, socket.socket]] = queue.SimpleQueue()
@@ -49,23 +49,24 @@
             self.polls.put((data.decode().split("watch=")[1].split("&")[0], sock))
 
     def poll(self, answer: dict[str, Any] | None = None) -> str:
-        """The number that the next poll asks from; it is answered where an answer is given."""
+        """Return the event number of the next poll, and answer the poll if an answer is given."""
         watched, sock = self.polls.get(timeout=PATIENCE_S)
         if answer is not None:
             body = json.dumps(answer).encode()
-            with contextlib.suppress(OSError):  # given up meanwhile
+            with contextlib.suppress(OSError):  # the proxy has closed the connection
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         return watched
 
 
 def table(board: str) -> dict[str, Any]:
-    found = tomllib.loads(OPERATOR.read_text())
-    del found["eureka"], found["websocket"]
-    return found | {"listen": "127.0.0.1:0", "board": board, "known": {"rev": 3, "notices": []}}
+    """A configuration that follows a notice board; empty: a list in the file."""
+    operator_table = tomllib.loads(OPERATOR.read_text())
+    del operator_table["eureka"], operator_table["websocket"]
+    return operator_table | {"listen": "127.0.0.1:0", "board": board, "known": {"rev": 3, "notices": []}}
 
 
 class Program:
-    """`serve` as a process of its own, its log kept line by line."""
+    """A proxy process and its log."""
 
     def __init__(
         self,
@@ -77,7 +78,7 @@
         self.process = subprocess.Popen(command, env=environ, stderr=subprocess.PIPE, text=True)
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
         self.lines: queue.SimpleQueue[str] = queue.SimpleQueue()
-        self.log: list[str] = []  # all lines so far
+        self.log: list[str] = []  # every line read so far
         threading.Thread(target=self._read, daemon=True).start()
 
     def _read(self) -> None:
@@ -87,6 +88,7 @@
             self.lines.put(line)
 
     def says(self, text: str) -> None:
+        """Read the log up to a line with this text."""
         while text not in self.lines.get(timeout=PATIENCE_S):
             pass
 
@@ -108,13 +110,13 @@
         program.process.wait()
 
 
-def test_sighup_moves_to_the_new_board_and_the_numbering_goes_on(
+def test_sighup_switches_to_the_new_board_and_continues_the_event_numbers(
     run: Callable[[str], tuple[Program, Path]],
 ) -> None:
     old, new = BoardStandIn(), BoardStandIn()
     program, path = run(old.address)
     assert old.poll({"rev": 7, "notices": []}) == "3"
-    assert old.poll() == "7"  # this one stays open: the old board tells nothing more
+    assert old.poll() == "7"  # stays open: the old board sends nothing more
     path.write_text(json.dumps(table(new.address)))
     program.process.send_signal(signal.SIGHUP)
     assert new.poll({"rev": 9, "notices": []}) == "7"
@@ -124,12 +126,12 @@
 
 
 def signal_thread(process: subprocess.Popen[str], number: int) -> None:
-    """Signal another thread than the main one, as the system may choose to for a signal to the process."""
+    """Signal a thread other than the main one; the system may do so for a signal to the process."""
     other = next(int(tid) for tid in os.listdir(f"/proc/{process.pid}/task") if int(tid) != process.pid)
     assert ctypes.CDLL(None).tgkill(process.pid, other, number) == 0
 
 
-def test_a_signal_is_heard_whichever_thread_it_reaches(run: Callable[[str], tuple[Program, Path]]) -> None:
+def test_a_signal_is_handled_whichever_thread_receives_it(run: Callable[[str], tuple[Program, Path]]) -> None:
     old, new = BoardStandIn(), BoardStandIn()
     program, path = run(old.address)
     assert old.poll() == "3"
@@ -140,8 +142,8 @@
     assert program.process.wait(PATIENCE_S) == 0
 
 
-def test_a_signal_to_read_again_does_not_end_the_interpreter_that_starts(tmp_path: Path) -> None:
-    """By the command that the platform runs."""
+def test_sighup_during_interpreter_startup_does_not_end_the_process(tmp_path: Path) -> None:
+    """Uses the run command of the platform."""
     command = tomllib.loads((OPERATOR.parent / "balancer.toml").read_text())["run"]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(table("")))
@@ -153,16 +155,16 @@
     assert program.process.wait(PATIENCE_S) == 0
 
 
-@pytest.mark.parametrize("told", [signal.SIGTERM, signal.SIGINT])
-def test_a_signal_between_the_first_line_and_the_listening_socket_is_obeyed_once_it_serves(
-    tmp_path: Path, told: signal.Signals
+@pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
+def test_a_stop_signal_during_startup_is_handled_once_the_proxy_serves(
+    tmp_path: Path, number: signal.Signals
 ) -> None:
-    """Held at the very line that reads its configuration, which is a pipe that nobody has written to."""
+    """The configuration file is a named pipe, which blocks the startup until the test writes to it."""
     path = tmp_path / "config.json"
     os.mkfifo(path)
     program = Program(path)
-    config = os.open(path, os.O_WRONLY)  # returns once the program has opened it
-    program.process.send_signal(told)
+    config = os.open(path, os.O_WRONLY)  # returns once the proxy has opened it
+    program.process.send_signal(number)
     os.write(config, json.dumps(table("")).encode())
     os.close(config)
     program.says("serves on")
@@ -171,7 +173,7 @@
 
 
 def test_a_stopping_proxy_follows_a_board_that_moves(run: Callable[..., tuple[Program, Path]]) -> None:
-    """Told to stop, moved twice, between them a file that is only half there; a call that stands keeps it."""
+    """Two moves after SIGTERM, a truncated file before each; an established call keeps the proxy running."""
     old, new, newest, server = BoardStandIn(), BoardStandIn(), BoardStandIn(), BookingServer(False)
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = f"127.0.0.1:{free.getsockname()[1]}"
@@ -195,27 +197,27 @@
         path.write_text(json.dumps(table(board.address) | more))
         program.process.send_signal(signal.SIGHUP)
         assert board.poll() == "3"
-    program.process.send_signal(signal.SIGTERM)  # once more changes nothing
+    program.process.send_signal(signal.SIGTERM)  # a second SIGTERM has no effect
     caller.say("release", "00000000000000a1", cause=16)
     assert program.process.wait(PATIENCE_S) == 0
 
 
-@pytest.mark.parametrize("broken", ["", "{", "[]", '{"board": 5}', '{"settings": {}}'])
-def test_a_broken_file_leaves_the_old_configuration_in_force(
-    run: Callable[[str], tuple[Program, Path]], broken: str
+@pytest.mark.parametrize("content", ["", "{", "[]", '{"board": 5}', '{"settings": {}}'])
+def test_an_invalid_file_leaves_the_old_configuration_in_force(
+    run: Callable[[str], tuple[Program, Path]], content: str
 ) -> None:
     board, new = BoardStandIn(), BoardStandIn()
     program, path = run(board.address)
     assert board.poll() == "3"
-    path.write_text(broken)
+    path.write_text(content)
     program.process.send_signal(signal.SIGHUP)
     program.says("the old one stays in force")
-    path.write_text(json.dumps(table(new.address)))  # and a sound one is taken later
+    path.write_text(json.dumps(table(new.address)))  # a valid file is applied later
     program.process.send_signal(signal.SIGHUP)
     assert new.poll() == "3"
 
 
-def test_what_only_a_start_can_change_is_left_and_a_list_in_the_file_is_read_again() -> None:
+def test_reload_applies_a_list_in_the_file_and_ignores_changes_that_need_a_restart() -> None:
     def listing(number: int, state: str) -> dict[str, Any]:
         target = {"uid": "s0", "endpoint": "127.0.0.1:9", "pod_group": 0, "state": state, "boot_ms": 0}
         notice = {"rev": number, "pool": {"rev": number, "all": True, "targets": [target]}}
@@ -238,7 +240,7 @@
     node.fronts[0].stop_accepting()
 
 
-def test_eureka_moves_with_its_own_registration() -> None:
+def test_a_move_to_another_eureka_fetches_the_list_and_registers_there() -> None:
     asked: list[tuple[str, str]] = []
     config = EurekaRegistry("http://127.0.0.1:1/eureka", "BOOKING", "PROXY", 1000.0, 5000.0)
     eureka = Eureka(config, "p1", "127.0.0.1:5060", ManualClock(), lambda news: None)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A start on a share of a core: nothing is imported that `serve` has no use for, nothing is compiled anew."""
+"""Start-up cost on a fraction of a core: `serve` imports only what it needs, and modules are precompiled."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 ROOT = Path(__file__).parent.parent
 STARTS = 16
-# Each of these cost a start a tenth or more of its time once, or belongs to a part that is off.
+# Each of these took a tenth or more of the start-up time, or belongs to a feature that is disabled.
 UNUSED = (
     "importlib.metadata",
     "capershelf.memory",
@@ -37,31 +37,33 @@
 )
 
 
-def test_serve_imports_nothing_that_it_has_no_use_for() -> None:
+def test_serve_imports_no_unused_module() -> None:
     code = "import sys, capershelf.cli, capershelf.node; print(*sorted(sys.modules))"
-    ran = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=100, check=True
     )
-    found = ran.stdout.split()
-    assert "capershelf.core.planner" in found
-    assert not set(UNUSED) & set(found)
+    imported = process.stdout.split()
+    assert "capershelf.core.planner" in imported
+    assert not set(UNUSED) & set(imported)
 
 
 def test_the_build_leaves_every_module_compiled(tmp_path: Path) -> None:
-    """Where the files are read-only, as on the platform, each start would compile all of them again."""
+    """The platform's files are read-only: a module that is not precompiled is compiled at every start."""
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
-    compiling = build.rpartition("&& ")[2].replace(".venv/bin/python", sys.executable)
-    bare = shutil.ignore_patterns("__pycache__")
-    shutil.copytree(ROOT / "capershelf", tmp_path / "capershelf", ignore=bare)
-    subprocess.run(["/bin/sh", "-c", compiling], cwd=tmp_path, timeout=100, check=True)
+    compile_command = build.rpartition("&& ")[2].replace(".venv/bin/python", sys.executable)
+    without_cache = shutil.ignore_patterns("__pycache__")
+    shutil.copytree(ROOT / "capershelf", tmp_path / "capershelf", ignore=without_cache)
+    subprocess.run(["/bin/sh", "-c", compile_command], cwd=tmp_path, timeout=100, check=True)
     sources = list((tmp_path / "capershelf").rglob("*.py"))
     compiled = {path.name.partition(".")[0] for path in (tmp_path / "capershelf").rglob("*.pyc")}
     assert len(sources) > 50 and {path.stem for path in sources} <= compiled
 
 
 def test_nothing_is_imported_once_threads_run(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Threads that import, or load a library, wait for the others' locks in the middle of a start: connecting
-    to the first address brought the codec for international names in, whatever the address was."""
+    """Threads that import a module wait for each other's import locks and delay the start.
+
+    Guards against the idna codec, which name resolution imported at the first connection to any address.
+    """
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
     board, server = BoardStandIn(), BookingServer(False)
     with socket.create_server(("127.0.0.1", 0)) as free:
@@ -97,7 +99,7 @@
     assert [line for line in log[last + 1 :] if line.startswith("import time:")] == []
 
 
-def test_an_address_is_found_for_numbers_and_names_and_for_no_nonsense() -> None:
+def test_numeric_addresses_and_names_are_resolved_and_malformed_ones_rejected() -> None:
     assert resolve("127.0.0.1", 80)[0][4] == ("127.0.0.1", 80)
     assert resolve("::1", 80)[0][4][:2] == ("::1", 80)
     assert ("127.0.0.1", 80) in [one[4] for one in resolve("localhost", 80)]
@@ -105,8 +107,8 @@
         resolve("127.0.0.1.5.5", 80, socket.AI_NUMERICHOST)
 
 
-def test_of_many_starts_at_once_each_serves(tmp_path: Path) -> None:
-    """All at once on one machine: none may come up and then answer nobody."""
+def test_all_of_many_proxies_that_start_at_once_serve(tmp_path: Path) -> None:
+    """On one machine; every proxy that listens must also answer."""
     programs, listens = [], []
     for number in range(STARTS):
         with socket.create_server(("127.0.0.1", 0)) as free:
