--- a/capershelf/cli.py
+++ b/capershelf/cli.py
@@ -111,7 +111,7 @@
             reload(node, stream, path)
         elif not stopping:
             stopping = True
-            logger.info("told to stop", event="stopping")
+            logger.info("stop signal received", event="stopping")
             start_thread(stop, "stop")
 
 
--- a/capershelf/config.py
+++ b/capershelf/config.py
@@ -222,7 +222,7 @@
     values = {name: _number(table, "memory.", key, float(str(times[name]))) for key, name in names.items()}
     for key, name in names.items():
         if not 0 <= values[name] < float("inf") or name == "period_ms" and values[name] < 100:
-            raise ValueError(f"settings: memory.{key} makes no sense: {values[name]:g} ms")
+            raise ValueError(f"settings: memory.{key} is out of range: {values[name]:g} ms")
     return MemorySettings(folder, str(table.get("key-file", "")), **values)
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -145,7 +145,7 @@
         return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
     try:
-        program.says("serves on")
+        program.wait_for_log("serves on")
         link = server.peer()
         worker = Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue())
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -105,7 +105,7 @@
     path.write_text(json.dumps(config))
     program = Program(path, sockets=SOCKETS)
     try:
-        program.says("serves on")
+        program.wait_for_log("serves on")
         sock = socket.create_connection(parse_endpoint(listen))
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         caller = Peer(sock, Lines(), queue.SimpleQueue())
--- a/tests/test_memory_running.py
+++ b/tests/test_memory_running.py
@@ -160,7 +160,7 @@
         ({}, "lack memory.folder"),
         ({"folder": ""}, "must be a path"),
         ({"folder": "x", "periods": 1}, "periods"),
-        ({"folder": "x", "period": 5}, "period makes no sense"),
+        ({"folder": "x", "period": 5}, "period is out of range"),
         ({"folder": "x", "most-age": "1 d"}, "most-age"),
         ({"folder": "x", "rate-half-life": -1}, "rate-half-life"),
     ],
@@ -373,15 +373,15 @@
 
     boots = (1_700_000_000_000.0, 0.0)
     first = start(boots)
-    first.says("nothing is known yet")
-    first.says("serves on")
+    first.wait_for_log("nothing is known yet")
+    first.wait_for_log("serves on")
     load = Load(port)
     while min(sum(one.calls.values()) for one in servers) < 40:
         time.sleep(0.01)
     first.process.send_signal(signal.SIGTERM)
     assert first.process.wait(PATIENCE_S) == 0
     second = start(boots)
-    second.says("2 servers start from what was known; listed: 2 (the same process)")
+    second.wait_for_log("2 servers start from what was known; listed: 2 (the same process)")
     before = [sum(one.calls.values()) for one in servers]
     while any(sum(one.calls.values()) < n + 20 for one, n in zip(servers, before, strict=True)):
         time.sleep(0.01)
@@ -395,7 +395,7 @@
     second.process.kill()
     second.process.wait()
     third = start((1_700_000_000_000.0, time.time() * 1000.0))
-    third.says("1 servers start from what was known")
+    third.wait_for_log("1 servers start from what was known")
     before = [sum(one.calls.values()) for one in servers]
     load = Load(port)
     while sum(servers[0].calls.values()) < before[0] + 40:
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -49,7 +49,7 @@
     path.write_text(json.dumps(table("") | {"listen": listen, "known": known}))
     program, chance = Program(path), random.Random(3)
     try:
-        program.says("serves on")
+        program.wait_for_log("serves on")
         threading.Thread(target=answer_all, args=(server, server.peer()), daemon=True).start()
         callers = [
             Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue())
--- a/tests/test_registry_states.py
+++ b/tests/test_registry_states.py
@@ -107,10 +107,10 @@
 class EurekaStates(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
-        self.news: list[ServerListUpdate] = []
+        self.updates: list[ServerListUpdate] = []
         self.in_sync = False  # no change was lost since the last complete list
         self.stand_in = StandIn()
-        self.eureka = Eureka(CONFIG, "p1", "127.0.0.1:5060", ManualClock(), self.news.append)
+        self.eureka = Eureka(CONFIG, "p1", "127.0.0.1:5060", ManualClock(), self.updates.append)
         self.eureka._client = self.stand_in  # type: ignore[assignment]
 
     @rule(
@@ -128,10 +128,10 @@
 
     @rule()
     def fetch(self) -> None:
-        published = len(self.news)
+        published = len(self.updates)
         if self.stand_in.down:
             assert not self.eureka._try_operation(self.eureka.fetch)
-            assert len(self.news) == published, "an update although the registry gave no list"
+            assert len(self.updates) == published, "an update although the registry gave no list"
             return
         changed = bool(self.stand_in.changes)
         assert self.eureka._try_operation(self.eureka.fetch)
@@ -146,8 +146,8 @@
         elif self.stand_in.delta_lost and changed:
             self.in_sync = False
         if self.in_sync:
-            assert {one.listed.server: one.listed.status for one in self.news[-1].servers} == expected
-            assert self.news[-1].complete
+            assert {one.listed.server: one.listed.status for one in self.updates[-1].servers} == expected
+            assert self.updates[-1].complete
 
     @rule()
     def renew(self) -> None:
@@ -175,29 +175,29 @@
 
 
 def test_up_draining_removed_and_up_again_are_published_from_deltas_alone() -> None:
-    news: list[ServerListUpdate] = []
-    stand_in, eureka = StandIn(), Eureka(CONFIG, "p1", "127.0.0.1:1", ManualClock(), news.append)
+    updates: list[ServerListUpdate] = []
+    stand_in, eureka = StandIn(), Eureka(CONFIG, "p1", "127.0.0.1:1", ManualClock(), updates.append)
     eureka._client = stand_in  # type: ignore[assignment]
     for status in ("UP", "OUT_OF_SERVICE", None, "UP"):
         stand_in.change("BOOKING", "a", status)
         eureka.fetch()
     eureka.fetch()
-    statuses = [[server.listed.status for server in update.servers] for update in news]
+    statuses = [[server.listed.status for server in update.servers] for update in updates]
     assert statuses == [[ServerStatus.ACTIVE], [ServerStatus.DRAINING], [], [ServerStatus.ACTIVE]]
     assert [path for _, path in stand_in.asked] == ["/eureka/apps"] + 4 * ["/eureka/apps/delta"]
 
 
 @pytest.mark.parametrize("answer", [b"{}", b"[]", b'{"applications":[]}', b"x"])
 def test_a_malformed_eureka_answer_leaves_the_last_list(answer: bytes) -> None:
-    news: list[ServerListUpdate] = []
-    stand_in, eureka = StandIn(), Eureka(CONFIG, "p1", "127.0.0.1:1", ManualClock(), news.append)
+    updates: list[ServerListUpdate] = []
+    stand_in, eureka = StandIn(), Eureka(CONFIG, "p1", "127.0.0.1:1", ManualClock(), updates.append)
     eureka._client = stand_in  # type: ignore[assignment]
     stand_in.change("BOOKING", "a", "UP")
     eureka.fetch()
     stand_in.request = lambda *_: (200, answer)  # type: ignore[method-assign]
     with pytest.raises((EurekaError, ValueError)):
         eureka.fetch()
-    assert len(news) == 1
+    assert len(updates) == 1
 
 
 class HttpServer:
@@ -254,19 +254,19 @@
         framed(again, how),
         framed(b'{"rev":4,"notices":[]}', how),
     )
-    told: queue.SimpleQueue[ServerListUpdate] = queue.SimpleQueue()
-    board = Board(server.endpoint, {"rev": 1, "notices": [notice(1, "up")]}, SystemClock(), told.put)
+    published: queue.SimpleQueue[ServerListUpdate] = queue.SimpleQueue()
+    board = Board(server.endpoint, {"rev": 1, "notices": [notice(1, "up")]}, SystemClock(), published.put)
     thread = threading.Thread(target=board.run, daemon=True)
     thread.start()
-    news = [told.get(timeout=20) for _ in range(4)]
+    updates = [published.get(timeout=20) for _ in range(4)]
     board.stop()
-    assert [one.servers[0].listed.status for one in news] == [
+    assert [one.servers[0].listed.status for one in updates] == [
         ServerStatus.ACTIVE,
         ServerStatus.DRAINING,
         ServerStatus.REMOVED,
         ServerStatus.ACTIVE,
     ]
-    assert news[0].complete
+    assert updates[0].complete
     asked = [server.heads.get(timeout=20) for _ in range(4)]
     polls = [head.split("&")[0].removeprefix("GET /board/poll?") for head in asked]
     assert polls == ["watch=1", "watch=1", "watch=1", "watch=3"]
@@ -277,12 +277,12 @@
     return {"uid": uid, "endpoint": endpoint, "pod_group": 0, "state": state} | changes
 
 
-def pool(number: int, *targets: Any, whole: bool = False) -> dict[str, Any]:
-    return {"rev": number, "pool": {"rev": 1, "all": whole, "targets": list(targets)}}
+def pool(number: int, *targets: Any, complete: bool = False) -> dict[str, Any]:
+    return {"rev": number, "pool": {"rev": 1, "all": complete, "targets": list(targets)}}
 
 
 def test_malformed_notices_and_targets_are_skipped_and_the_rest_is_applied() -> None:
-    last, news = parse_notices(
+    last, updates = parse_notices(
         {
             "rev": 9,
             "notices": [
@@ -294,7 +294,7 @@
                     target("b", "gone fishing"),
                     target("c", endpoint="c"),
                     target("d", "draining", endpoint=None, pod_group="x"),
-                    whole=True,
+                    complete=True,
                 ),
                 "no notice",
                 {"rev": "x"},
@@ -308,10 +308,16 @@
         4,
     )
     assert last == 9
-    told = [[(one.listed.server, one.listed.status, one.endpoint) for one in each.servers] for each in news]
-    assert told[0] == [("a", ServerStatus.ACTIVE, target("a")["endpoint"]), ("d", ServerStatus.DRAINING, "")]
-    assert news[0].complete and news[0].retained == {"b", "c"}
-    assert [[one[:2] for one in each] for each in told[1:]] == [
+    entries = [
+        [(server.listed.server, server.listed.status, server.endpoint) for server in update.servers]
+        for update in updates
+    ]
+    assert entries[0] == [
+        ("a", ServerStatus.ACTIVE, target("a")["endpoint"]),
+        ("d", ServerStatus.DRAINING, ""),
+    ]
+    assert updates[0].complete and updates[0].retained == {"b", "c"}
+    assert [[entry[:2] for entry in update] for update in entries[1:]] == [
         [("a", ServerStatus.DRAINING)],
         [("a", ServerStatus.REMOVED)],
     ]
@@ -326,35 +332,37 @@
 
 
 def test_a_malformed_entry_in_a_complete_list_is_kept_and_decreasing_numbers_block_nothing() -> None:
-    table = base_table("") | {"known": {"rev": 1, "notices": [pool(1, target("a"), target("b"), whole=True)]}}
+    table = base_table("") | {
+        "known": {"rev": 1, "notices": [pool(1, target("a"), target("b"), complete=True)]}
+    }
     node = Node(read(table, {}), ManualClock())
     planner = node.planners[0]
     sent: list[str] = []
     planner.servers = servers = FakeServers(ManualClock())
     servers.set_up = lambda server, *_: sent.append(server)  # type: ignore[method-assign]
 
-    def told(number: int, *targets: Any) -> dict[str, str]:
-        for one in parse_notices({"rev": number, "notices": [pool(number, *targets, whole=True)]}, 0)[1]:
+    def status_after(number: int, *targets: Any) -> dict[str, str]:
+        for one in parse_notices({"rev": number, "notices": [pool(number, *targets, complete=True)]}, 0)[1]:
             node._publish_update(one)
         while not planner.inbox.empty():
             planner.step()
         return {gate.id: gate.standing.value for gate in planner._controller.gates.values()}
 
-    assert told(9, target("a"), target("b", pod_group=None)) == {"a": "active", "b": "active"}
-    assert told(3, target("a", "draining"), target("b")) == {"a": "draining", "b": "active"}
-    assert told(2, target("b", "up", endpoint=5)) == {"a": "gone", "b": "active"}
+    assert status_after(9, target("a"), target("b", pod_group=None)) == {"a": "active", "b": "active"}
+    assert status_after(3, target("a", "draining"), target("b")) == {"a": "draining", "b": "active"}
+    assert status_after(2, target("b", "up", endpoint=5)) == {"a": "gone", "b": "active"}
     node.fronts[0].stop_accepting()
 
 
 def test_a_board_that_restarts_its_numbering_is_asked_for_its_complete_list() -> None:
     old = json.dumps({"rev": 2, "notices": [pool(2, target("a"))]}).encode()
-    new = json.dumps({"rev": 2, "notices": [pool(1, target("a", "draining"), whole=True)]}).encode()
+    new = json.dumps({"rev": 2, "notices": [pool(1, target("a", "draining"), complete=True)]}).encode()
     answers = [*[old] * STALE_ANSWERS_BEFORE_RESYNC, new, b'{"rev":2}']
     server = HttpServer(*(framed(answer, "length") for answer in answers))
-    told: queue.SimpleQueue[ServerListUpdate] = queue.SimpleQueue()
-    board = Board(server.endpoint, {"rev": 40, "notices": []}, SystemClock(), told.put)
+    updates: queue.SimpleQueue[ServerListUpdate] = queue.SimpleQueue()
+    board = Board(server.endpoint, {"rev": 40, "notices": []}, SystemClock(), updates.put)
     threading.Thread(target=board.run, daemon=True).start()
-    first = told.get(timeout=20)
+    first = updates.get(timeout=20)
     board.stop()
     assert first.complete and first.servers[0].listed.status is ServerStatus.DRAINING
     polls = [
@@ -386,7 +394,7 @@
 
 def test_a_list_with_unread_answers_is_outdated_but_an_unreachable_board_counts_as_current() -> None:
     clock = ManualClock()
-    board = Board("127.0.0.1:1", {"rev": 0, "notices": []}, clock, lambda news: None)
+    board = Board("127.0.0.1:1", {"rev": 0, "notices": []}, clock, lambda update: None)
 
     class Answers:
         took_ms = 1000.0
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -87,7 +87,7 @@
             self.log.append(line.rstrip())
             self.lines.put(line)
 
-    def says(self, text: str) -> None:
+    def wait_for_log(self, text: str) -> None:
         """Read the log up to a line with this text."""
         while text not in self.lines.get(timeout=PATIENCE_S):
             pass
@@ -101,7 +101,7 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(table(board) | more))
         started.append(Program(path))
-        started[-1].says("serves on")
+        started[-1].wait_for_log("serves on")
         return started[-1], path
 
     yield start
@@ -150,7 +150,7 @@
     program = Program(path, ["/bin/sh", "-c", command.replace(".venv/bin/python", sys.executable)])
     until(lambda: Path(f"/proc/{program.process.pid}/cmdline").read_text().startswith(sys.executable))
     program.process.send_signal(signal.SIGHUP)
-    program.says("serves on")
+    program.wait_for_log("serves on")
     program.process.send_signal(signal.SIGTERM)
     assert program.process.wait(PATIENCE_S) == 0
 
@@ -167,8 +167,8 @@
     program.process.send_signal(number)
     os.write(config, json.dumps(table("")).encode())
     os.close(config)
-    program.says("serves on")
-    program.says("told to stop")
+    program.wait_for_log("serves on")
+    program.wait_for_log("stop signal received")
     assert program.process.wait(PATIENCE_S) == 0
 
 
@@ -189,11 +189,11 @@
     link.say("answer", "00000000000000a1", sdp="a")
     assert caller.hear()["type"] == "answer"
     program.process.send_signal(signal.SIGTERM)
-    program.says("told to stop")
+    program.wait_for_log("stop signal received")
     for board in (new, newest):
         path.write_text(json.dumps(table(board.address) | more)[:60])
         program.process.send_signal(signal.SIGHUP)
-        program.says("the old one stays in force")
+        program.wait_for_log("the old one stays in force")
         path.write_text(json.dumps(table(board.address) | more))
         program.process.send_signal(signal.SIGHUP)
         assert board.poll() == "3"
@@ -211,7 +211,7 @@
     assert board.poll() == "3"
     path.write_text(content)
     program.process.send_signal(signal.SIGHUP)
-    program.says("the old one stays in force")
+    program.wait_for_log("the old one stays in force")
     path.write_text(json.dumps(table(new.address)))  # a valid file is applied later
     program.process.send_signal(signal.SIGHUP)
     assert new.poll() == "3"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -76,8 +76,8 @@
     )
     program = Program(path)
     try:
-        program.says("capershelf.cli")
-        program.says("serves on")
+        program.wait_for_log("capershelf.cli")
+        program.wait_for_log("serves on")
         assert board.poll() == "3"
         link = server.peer()
         caller = Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue())
@@ -87,13 +87,13 @@
         assert caller.hear()["type"] == "answer"
         caller.say("release", "00000000000000a1", cause=16)
         program.process.send_signal(signal.SIGHUP)
-        program.says("read again")
+        program.wait_for_log("read again")
         program.process.send_signal(signal.SIGTERM)
         assert program.process.wait(PATIENCE_S) == 0
     finally:
         program.process.kill()
         program.process.wait()
-    program.says("has answered all it took")
+    program.wait_for_log("has answered all it took")
     log = program.log
     last = max(number for number, line in enumerate(log) if line.endswith("| capershelf.cli"))
     assert [line for line in log[last + 1 :] if line.startswith("import time:")] == []
@@ -118,7 +118,7 @@
         programs.append(Program(path))
     try:
         for program, listen in zip(programs, listens, strict=True):
-            program.says("serves on")
+            program.wait_for_log("serves on")
             caller = Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue())
             caller.say("ping", "00000000000000a1", cause=0)
             assert caller.hear()["cause"] == 1
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -360,7 +360,7 @@
     path.write_text(json.dumps(config))
     program = Program(path)
     try:
-        program.says("serves on")
+        program.wait_for_log("serves on")
         links = [silent.peer(), resets.peer()]
         caller = Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue())
         calls = {
@@ -382,7 +382,7 @@
             caller.set_up(calls[name], extras=f"dest:{place}")
         assert silent.hear()["type"] == "setup"
         program.process.send_signal(signal.SIGTERM)
-        program.says("told to stop")
+        program.wait_for_log("stop signal received")
         caller.set_up(calls["late"], extras="dest:1")
         heard: dict[str, list[str]] = {}
         while sum(map(len, heard.values())) < 4:
