--- a/tests/test_registry_states.py
+++ b/tests/test_registry_states.py
@@ -346,7 +346,7 @@
             node._publish_update(one)
         while not planner.inbox.empty():
             planner.step()
-        return {gate.id: gate.standing.value for gate in planner._controller.gates.values()}
+        return {gate.id: gate.status.value for gate in planner._controller.gates.values()}
 
     assert status_after(9, target("a"), target("b", pod_group=None)) == {"a": "active", "b": "active"}
     assert status_after(3, target("a", "draining"), target("b")) == {"a": "draining", "b": "active"}
