--- a/capershelf/subset/summary.py
+++ b/capershelf/subset/summary.py
@@ -7,7 +7,7 @@
 from capershelf.config import Config
 from capershelf.core.model import LocatedServer
 from capershelf.interface import ServerStatus
-from capershelf.registry.board import read_notices
+from capershelf.registry.board import parse_notices
 from capershelf.subset.selection import proxy_share
 
 
@@ -16,7 +16,7 @@
     assert config.subset is not None
     size = config.subset.size
     listed: dict[str, LocatedServer] = {}
-    for update in read_notices(config.known, -1)[1]:
+    for update in parse_notices(config.known, -1)[1]:
         listed |= {located.listed.server: located for located in update.servers}
     active = [located for located in listed.values() if located.listed.status is ServerStatus.ACTIVE]
     services = Counter(located.service for located in active)
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -15,7 +15,7 @@
 from capershelf.core.clock import PAUSE_BACKLOG_MS, ProcessPause, SystemClock
 from capershelf.fronts.session import MIN_REMAINING_MS
 from capershelf.node import Node
-from capershelf.registry.board import FRESH_MS
+from capershelf.registry.board import MAX_LIST_AGE_MS
 from tests.peers import OPERATOR, NodeHarness, Peer
 
 A, B = (f"{n:016x}" for n in range(0xA0, 0xA2))
@@ -41,8 +41,8 @@
 
 def test_a_read_gap_longer_than_allowed_is_a_pause(machine: MachineTime) -> None:
     clock = SystemClock()
-    clock.detect_pauses(FRESH_MS)
-    machine.now_s += FRESH_MS / 1000.0
+    clock.detect_pauses(MAX_LIST_AGE_MS)
+    machine.now_s += MAX_LIST_AGE_MS / 1000.0
     clock.now_ms()
     assert clock.last_pause is None
     start_ms = clock.now_ms()
@@ -115,7 +115,7 @@
         self.gaps_ms.append(max_read_gap_ms)
 
 
-@pytest.mark.parametrize(("board", "gaps_ms"), [("127.0.0.1:9", [FRESH_MS]), ("", [])])
+@pytest.mark.parametrize(("board", "gaps_ms"), [("127.0.0.1:9", [MAX_LIST_AGE_MS]), ("", [])])
 def test_only_a_proxy_that_follows_a_notice_board_detects_pauses(board: str, gaps_ms: list[float]) -> None:
     """The board's thread reads the clock regularly; without it, a long gap may just be idle time."""
     table = tomllib.loads(OPERATOR.read_text()) | {"listen": "127.0.0.1:0", "board": board}
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -13,7 +13,7 @@
 import pytest
 
 from capershelf.core.clock import SystemClock
-from capershelf.registry.board import GRACE_MS, LINGER_MS, Board
+from capershelf.registry.board import ANSWER_GRACE_MS, LINGER_MS, Board
 from tests.peers import PATIENCE_S
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
@@ -72,8 +72,8 @@
     thread.start()
     assert [board.watches.get(timeout=PATIENCE_S) for _ in range(2)] == ["7", "7"]
     assert board.closed.get(timeout=PATIENCE_S)
-    assert clock.now_ms() - start_ms >= LINGER_MS + GRACE_MS - 1.0, (
+    assert clock.now_ms() - start_ms >= LINGER_MS + ANSWER_GRACE_MS - 1.0, (
         "given up before the board's time was over"
     )
-    watcher.end()
+    watcher.stop()
     board.listener.close()
