--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -232,7 +232,7 @@
         if where == "inbox":  # its set-up is in the inbox
             blocked = BlockedPlanner(harness.planner)
             caller.set_up(A)
-            until(lambda: harness.node.houses[0].pending_set_ups == 1)
+            until(lambda: harness.node.front_contexts[0].pending_set_ups == 1)
         elif where == "room":  # both servers are draining, so the controller holds it
             for server in harness.planner._server_states.values():
                 harness.planner.submit_update(
@@ -336,7 +336,7 @@
         caller, other = harness.caller(), harness.caller()
         blocked = BlockedPlanner(harness.planner)
         caller.set_up(A)
-        until(lambda: harness.node.houses[0].pending_set_ups == 1)
+        until(lambda: harness.node.front_contexts[0].pending_set_ups == 1)
         (session,) = [s for s in harness.node.fronts[0]._sessions if s._open]
         other.send("release", A, cause=16)
         until(lambda: not session.is_waiting(A))
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -370,7 +370,7 @@
     path.write_text(json.dumps(config))
     program = Program(path)
     try:
-        program.says("serves on")
+        program.wait_for_log("serves on")
         links = [silent.peer(), resets.peer()]
         caller = Peer(socket.create_connection(parse_endpoint(listen)), Lines(), queue.SimpleQueue())
         calls = {
@@ -392,7 +392,7 @@
             caller.set_up(calls[name], extras=f"dest:{pool}")
         assert silent.receive()["type"] == "setup"
         program.process.send_signal(signal.SIGTERM)
-        program.says("told to stop")
+        program.wait_for_log("stop signal received")
         caller.set_up(calls["late"], extras="dest:1")
         outcomes: dict[str, list[str]] = {}
         while sum(map(len, outcomes.values())) < 4:
--- a/tests/test_subset_running.py
+++ b/tests/test_subset_running.py
@@ -17,8 +17,8 @@
 from capershelf.core import model as m
 from capershelf.core.clock import ManualClock
 from capershelf.core.planner import Planner
-from capershelf.node import Node, places_of
-from capershelf.registry.board import read_pool
+from capershelf.node import Node, reachable_pools
+from capershelf.registry.board import parse_pool
 from capershelf.subset import Membership
 from tests.peers import OPERATOR
 from tests.rig import listed, settings
@@ -246,7 +246,7 @@
     targets[8] = target(8, az="z" * 500)
     targets += [target(9, service="other")]  # one server in two services
     try:
-        update_read = read_pool({"rev": 1, "all": True, "targets": targets}, True)
+        update_read = parse_pool({"rev": 1, "all": True, "targets": targets}, True)
     finally:
         logger.remove(sink)
     assert lines.qsize() == 5
@@ -262,5 +262,5 @@
     def kind(pools: tuple[int, ...] | None) -> api.CallClass:
         return api.CallClass("a", 1.0, 2.0, pools=None if pools is None else frozenset(pools))
 
-    assert places_of(settings(classes=(kind((0, 1)), kind((1, 2))))) == frozenset({0, 1, 2})
-    assert places_of(settings(classes=(kind((0, 1)), kind(None)))) is None
+    assert reachable_pools(settings(classes=(kind((0, 1)), kind((1, 2))))) == frozenset({0, 1, 2})
+    assert reachable_pools(settings(classes=(kind((0, 1)), kind(None)))) is None
