--- a/capershelf/commands/memory.py
+++ b/capershelf/commands/memory.py
@@ -21,12 +21,12 @@
 
 from capershelf import config as configuration
 from capershelf.config import MemorySettings
-from capershelf.memory.ageing import Clocks, HalfLives, age_asked, age_server, part_of
-from capershelf.memory.disk import BusyError, Folder
+from capershelf.memory.ageing import CheckpointAge, HalfLives, age_new_call_rate, age_server, planner_share
+from capershelf.memory.disk import FolderLockedError, Folder
 from capershelf.memory.format import FORMAT, encode
-from capershelf.memory.memory import lives_of, read_key
-from capershelf.memory.records import Book
-from capershelf.memory.store import Found, Store
+from capershelf.memory.memory import half_lives_from, read_key
+from capershelf.memory.records import Checkpoint
+from capershelf.memory.store import FoundFile, Store
 
 GOOD, SPOILT, NEWER = 0, 1, 3
 FIGURES = ("answers/s", "wait ms", "way ms", "threshold", "silent")
@@ -58,19 +58,19 @@
         self.folder = Folder(Path(settings.folder))
         self.store = Store(self.folder, "", self.key)
 
-    def look(self) -> list[Found]:
+    def look(self) -> list[FoundFile]:
         try:
-            return self.store.look()
+            return self.store.inspect()
         except OSError as problem:
             fail(f"{self.settings.folder}: {problem}", SPOILT)
 
-    def book(self) -> Book:
+    def book(self) -> Checkpoint:
         """The newest whole book; ends the program where there is none."""
         found = self.look()
         for one in found:
             if one.kind == "newer":
                 fail(f"{one.name}: {one.problem}", NEWER)
-        if (book := next((one.book for one in found if one.book is not None), None)) is None:
+        if (book := next((one.checkpoint for one in found if one.checkpoint is not None), None)) is None:
             said = "\n".join(f"{one.name}: {one.problem}" for one in found)
             fail(said or "nothing is remembered here", SPOILT)
         return book
@@ -80,12 +80,12 @@
         click.get_current_context().call_on_close(self.folder.unlock)
         try:
             self.folder.lock()
-        except BusyError:
+        except FolderLockedError:
             fail("a running proxy holds this folder; stop it first", SPOILT)
         except OSError as problem:
             fail(str(problem), SPOILT)
 
-    def save(self, book: Book) -> None:
+    def save(self, book: Checkpoint) -> None:
         try:
             self.store.save(book)
         except OSError as problem:
@@ -115,7 +115,7 @@
 AS_JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 
 
-def plain(book: Book) -> dict[str, Any]:
+def plain(book: Checkpoint) -> dict[str, Any]:
     found = msgspec.to_builtins(book)
     assert isinstance(found, dict)
     return found
@@ -188,7 +188,7 @@
                             "name": one.name,
                             "kind": one.kind or "good",
                             "problem": one.problem,
-                            "generation": one.book.generation if one.book else None,
+                            "generation": one.checkpoint.generation if one.checkpoint else None,
                         }
                         for one in found
                     ]
@@ -197,13 +197,17 @@
         )
     else:
         for one in found:
-            state = f"good, generation {one.book.generation}" if one.book else f"{one.kind}: {one.problem}"
+            state = (
+                f"good, generation {one.checkpoint.generation}"
+                if one.checkpoint
+                else f"{one.kind}: {one.problem}"
+            )
             click.echo(f"{one.name}: {state}")
         if not found:
             click.echo("nothing is remembered here")
     if any(one.kind == "newer" for one in found):
         sys.exit(NEWER)
-    sys.exit(GOOD if found and all(one.book is not None for one in found) else SPOILT)
+    sys.exit(GOOD if found and all(one.checkpoint is not None for one in found) else SPOILT)
 
 
 @group.command()
@@ -220,12 +224,12 @@
     """What a start would go by then, before the list says which servers are still the same."""
     book = opened.book()
     at_ms = when(at, book)
-    clocks = Clocks(book.saved_ms, at_ms)
-    lives: HalfLives = lives_of(opened.settings)
+    clocks = CheckpointAge(book.saved_ms, at_ms)
+    lives: HalfLives = half_lives_from(opened.settings)
     most_ms = opened.settings.most_age_ms
-    part = part_of(book.senders, opened.senders or book.senders, opened.planners)
+    part = planner_share(book.senders, opened.senders or book.senders, opened.planners)
     aged = [age_server(record, clocks, lives, most_ms, part) for record in book.servers]
-    asked = age_asked(book, clocks, lives, most_ms, opened.planners)
+    asked = age_new_call_rate(book, clocks, lives, most_ms, opened.planners)
     known = [one for one in aged if one is not None]
     if as_json:
         click.echo(
@@ -258,7 +262,7 @@
     show_table(title, ("server", *FIGURES), rows)
 
 
-def when(at: str, book: Book) -> float:
+def when(at: str, book: Checkpoint) -> float:
     try:
         if at == "now":
             return time.time() * 1000.0
--- a/capershelf/memory/disk.py
+++ b/capershelf/memory/disk.py
@@ -1,7 +1,8 @@
-"""A folder, reduced to the steps whose order decides what a power cut leaves.  Others may build on it.
+"""File operations on one folder, limited to the steps whose order decides what survives a power cut.
 
-What is written counts as kept after sync(); a name that was made, moved or removed after sync_folder().
-Tests put a folder in its place that loses, tears and reorders all that was not yet synced.
+Also used by other packages.  Written data is durable after sync(); a file that was created, renamed or
+removed is durable after sync_folder().  Tests substitute a folder that loses, tears and reorders whatever
+was not synced.
 """
 
 from __future__ import annotations
@@ -15,49 +16,50 @@
 
 
 class Disk(Protocol):
-    """One folder; every step may raise OSError."""
+    """Operations on one folder; each may raise OSError."""
 
     def names(self) -> list[str]: ...
 
-    def read(self, name: str, most: int) -> bytes:
-        """The first `most` bytes at the most."""
+    def read(self, name: str, max_bytes: int) -> bytes:
+        """Return at most the first `max_bytes` bytes."""
 
     def write(self, name: str, data: bytes) -> None:
-        """Make the file or empty it, then write; nothing of it is safe before sync()."""
+        """Create or truncate the file, then write; nothing is durable before sync()."""
 
     def sync(self, name: str) -> None: ...
 
     def rename(self, old: str, new: str) -> None:
-        """Put the file in the place of another at once."""
+        """Replace `new` atomically."""
 
     def sync_folder(self) -> None: ...
 
 
-class BusyError(OSError):
-    """Another process holds the folder."""
+class FolderLockedError(OSError):
+    """Another process has locked the folder."""
 
 
 class Folder:
-    """A real folder.  No descriptor stays open but the lock's."""
+    """A real folder; only the descriptor of the lock stays open."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self._lock: int | None = None
 
     def lock(self) -> None:
-        """Hold the folder until unlock() or the process's end, however it ends; BusyError if another does."""
+        """Lock the folder until unlock() or the end of the process; FolderLockedError if it is locked."""
         held = os.open(self.path / "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as problem:
             os.close(held)
-            raise BusyError(f"{self.path} is held by another process") from problem
+            raise FolderLockedError(f"{self.path} is held by another process") from problem
         except OSError:
             os.close(held)
             raise
         self._lock = held
 
     def unlock(self) -> None:
+        """Release the lock, if held."""
         if self._lock is not None:
             os.close(self._lock)
             self._lock = None
@@ -65,9 +67,9 @@
     def names(self) -> list[str]:
         return sorted(os.listdir(self.path))
 
-    def read(self, name: str, most: int) -> bytes:
+    def read(self, name: str, max_bytes: int) -> bytes:
         with open(self.path / name, "rb") as file:
-            return file.read(most)
+            return file.read(max_bytes)
 
     def write(self, name: str, data: bytes) -> None:
         with self._opened(name, os.O_CREAT | os.O_TRUNC | os.O_WRONLY) as file:
--- a/capershelf/memory/generations.py
+++ b/capershelf/memory/generations.py
@@ -1,8 +1,7 @@
-"""Two generations of a file under one frame: at every instant the newest whole one can be read.
+"""Two generations of a file in a common frame: the newest valid one can be read at every instant.
 
-A write makes STEM.new, syncs it, moves it into the place of the older generation and syncs the folder;
-the newer generation is not touched.  What can't be used is set aside under another name and never written
-over.
+A write creates STEM.new, syncs it, renames it over the older generation and syncs the folder; the newer
+generation is not touched.  An unusable file is renamed (quarantined) and never overwritten.
 """
 
 from __future__ import annotations
@@ -14,84 +13,87 @@
 
 from capershelf.memory.disk import Disk
 
-KEYED = 1
-HEAD = struct.Struct(">8sHHI")  # magic, format of the body, flags, length of the body
+FLAG_KEYED = 1
+HEADER = struct.Struct(">8sHHI")  # magic, format of the body, flags, length of the body
 DIGEST_BYTES = 32
-FRAME_BYTES = HEAD.size + DIGEST_BYTES
-MOST_BYTES = 64 * 2**20  # guards a start against a file that is none of ours
+FRAME_BYTES = HEADER.size + DIGEST_BYTES
+MAX_BODY_BYTES = 64 * 2**20  # keeps a foreign file from filling memory at start
 
 
-class SpoiltError(ValueError):
-    """Not what was written: cut, changed, or never such a file."""
+class CorruptFileError(ValueError):
+    """The file is truncated, altered or of another type."""
 
 
-class RefusedError(ValueError):
-    """Whole perhaps, but not to be believed here: another key, or another proxy's."""
+class RejectedFileError(ValueError):
+    """The file may be intact but isn't accepted: it has another key or belongs to another proxy."""
 
 
-class NewerError(ValueError):
-    """Of a later release; to be left alone."""
+class NewerFormatError(ValueError):
+    """The file was written by a later release and must not be changed."""
 
 
 def frame(magic: bytes, number: int, body: bytes, key: bytes | None) -> bytes:
-    """The file's bytes; the digest is keyed where a key of 32 bytes is given."""
-    head = HEAD.pack(magic, number, KEYED if key else 0, len(body))
-    return head + digest(head, body, key) + body
+    """Return the file's bytes; with a key of 32 bytes the digest is keyed."""
+    header = HEADER.pack(magic, number, FLAG_KEYED if key else 0, len(body))
+    return header + digest(header, body, key) + body
 
 
 def unframe(magic: bytes, newest: int, data: bytes, key: bytes | None) -> tuple[int, bytes]:
-    """The format's number and the body, once the digest has proved both."""
+    """Return the format number and the body after verifying the digest."""
     if len(data) < FRAME_BYTES or data[: len(magic)] != magic:
-        raise SpoiltError("no such file of this program" if data else "empty")
-    _, number, flags, length = HEAD.unpack_from(data)
+        raise CorruptFileError("no such file of this program" if data else "empty")
+    _, number, flags, length = HEADER.unpack_from(data)
     if length != len(data) - FRAME_BYTES:
-        raise SpoiltError(f"{len(data) - FRAME_BYTES} bytes of body where {length} were written")
-    keyed = bool(flags & KEYED)
+        raise CorruptFileError(f"{len(data) - FRAME_BYTES} bytes of body where {length} were written")
+    keyed = bool(flags & FLAG_KEYED)
     if keyed and key is None:
-        raise RefusedError("it is keyed, and no key is set")
+        raise RejectedFileError("it is keyed, and no key is set")
     body = data[FRAME_BYTES:]
-    if digest(data[: HEAD.size], body, key if keyed else None) != data[HEAD.size : FRAME_BYTES]:
-        raise SpoiltError("the digest is not that of its contents" + (" under this key" if keyed else ""))
+    if digest(data[: HEADER.size], body, key if keyed else None) != data[HEADER.size : FRAME_BYTES]:
+        raise CorruptFileError(
+            "the digest is not that of its contents" + (" under this key" if keyed else "")
+        )
     if key is not None and not keyed:
-        raise RefusedError("it is not keyed, and a key is set")
+        raise RejectedFileError("it is not keyed, and a key is set")
     if number > newest:
-        raise NewerError(f"format {number}; this release knows up to {newest}")
+        raise NewerFormatError(f"format {number}; this release knows up to {newest}")
     return number, body
 
 
-def digest(head: bytes, body: bytes, key: bytes | None) -> bytes:
+def digest(header: bytes, body: bytes, key: bytes | None) -> bytes:
+    """Return the BLAKE3 digest of header and body."""
     hasher = blake3(key=key) if key is not None else blake3()
-    hasher.update(head)
+    hasher.update(header)
     hasher.update(body)
     return hasher.digest(DIGEST_BYTES)
 
 
 class Generations:
-    """The two names and what is done to them; one thread at a time."""
+    """Reads, writes and quarantines the two files; not thread-safe."""
 
     def __init__(self, disk: Disk, stem: str) -> None:
         self.names = (f"{stem}.0", f"{stem}.1")
         self._disk, self._new = disk, f"{stem}.new"
 
     def read(self) -> Iterator[tuple[str, bytes]]:
-        """Each name that is there, with its bytes."""
-        there = set(self._disk.names())
+        """Yield the name and the bytes of each existing file."""
+        existing = set(self._disk.names())
         for name in self.names:
-            if name in there:
-                yield name, self._disk.read(name, MOST_BYTES + FRAME_BYTES)
+            if name in existing:
+                yield name, self._disk.read(name, MAX_BODY_BYTES + FRAME_BYTES)
 
     def write(self, generation: int, data: bytes) -> None:
-        """Write in place of the older generation.  OSError leaves both readable."""
+        """Replace the older generation.  After an OSError both are still readable."""
         self._disk.write(self._new, data)
         self._disk.sync(self._new)
         self._disk.rename(self._new, self.names[generation % len(self.names)])
         self._disk.sync_folder()
 
-    def set_aside(self, name: str, kind: str) -> str:
-        """Keep it under another name, which is returned."""
+    def quarantine(self, name: str, kind: str) -> str:
+        """Rename an unusable file and return the new name."""
         taken = set(self._disk.names())
         number = next(n for n in range(len(taken) + 1) if f"{name}.{kind}-{n}" not in taken)
-        kept = f"{name}.{kind}-{number}"
-        self._disk.rename(name, kept)
+        quarantined = f"{name}.{kind}-{number}"
+        self._disk.rename(name, quarantined)
         self._disk.sync_folder()
-        return kept
+        return quarantined
--- a/capershelf/memory/memory.py
+++ b/capershelf/memory/memory.py
@@ -1,4 +1,4 @@
-"""The door: what a node opens, gives to its planners, and closes at its end."""
+"""Opens the memory for a node, provides one PlannerMemory per planner, and closes it at the end."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from capershelf.config import MemorySettings
 from capershelf.core.clock import Clock
 from capershelf.memory.ageing import HalfLives
-from capershelf.memory.disk import BusyError, Folder
+from capershelf.memory.disk import FolderLockedError, Folder
 from capershelf.memory.format import KEY_BYTES
-from capershelf.memory.generations import NewerError
-from capershelf.memory.keeper import Keeper, Terms
-from capershelf.memory.records import Book
+from capershelf.memory.generations import NewerFormatError
+from capershelf.memory.keeper import PlannerMemory, PlannerMemorySettings
+from capershelf.memory.records import Checkpoint
 from capershelf.memory.store import Store
-from capershelf.memory.writer import End, Writer
+from capershelf.memory.writer import Shutdown, Writer
 from capershelf.net.connection import start_thread
 
-CLOSE_MS = 2000.0  # at the end a disk has so long for the last write
+CLOSE_MS = 2000.0  # limit for the last write
 
 
 @dataclass(frozen=True, slots=True)
-class Who:
-    """The proxy whose memory it is."""
+class ProxyIdentity:
+    """The proxy that owns the memory."""
 
     name: str
     release: str
@@ -33,8 +33,8 @@
     planners: int
 
 
-def lives_of(settings: MemorySettings) -> HalfLives:
-    """The half-lives of the configuration."""
+def half_lives_from(settings: MemorySettings) -> HalfLives:
+    """Return the configured half-lives."""
     return HalfLives(
         rate_ms=settings.rate_half_life_ms,
         base_ms=settings.base_half_life_ms,
@@ -46,7 +46,7 @@
 
 
 def read_key(path: str) -> bytes | None:
-    """The operator's key: 32 bytes, or 64 hex digits; ValueError for a file that others may read."""
+    """Return the key, 32 bytes or 64 hex digits; ValueError for a file that group or others may access."""
     if not path:
         return None
     file = Path(path)
@@ -67,24 +67,24 @@
 
 
 class Memory:
-    """What one proxy remembers; a folder that can't be used leaves it without, and service untouched."""
+    """The stored knowledge of one proxy; with an unusable folder the proxy serves without it."""
 
-    def __init__(self, settings: MemorySettings, who: Who, clock: Clock) -> None:
-        self.keepers: list[Keeper | None] = [None] * who.planners
+    def __init__(self, settings: MemorySettings, identity: ProxyIdentity, clock: Clock) -> None:
+        self.planner_memories: list[PlannerMemory | None] = [None] * identity.planners
         self._clock = clock
         self._writer: Writer | None = None
         self._folder = Folder(Path(settings.folder))
         key = read_key(settings.key_file)
         try:
             self._folder.lock()
-            store = Store(self._folder, who.name, key)
-            book, said = store.load()
-        except BusyError as problem:
+            store = Store(self._folder, identity.name, key)
+            checkpoint, messages = store.load()
+        except FolderLockedError as problem:
             logger.warning(
                 "memory: {problem}; this proxy serves without memory", event="memory-held", problem=problem
             )
             return
-        except NewerError as problem:
+        except NewerFormatError as problem:
             logger.warning(
                 "memory: {problem}; left untouched, this proxy serves without memory",
                 event="memory-newer",
@@ -100,63 +100,66 @@
             )
             self._folder.unlock()
             return
-        for line in said:
+        for line in messages:
             logger.warning("memory: {problem}", event="memory-set-aside", problem=line)
-        self._say(book, clock.now_ms(), settings.most_age_ms)
+        self._log_loaded(checkpoint, clock.now_ms(), settings.most_age_ms)
         self._writer = writer = Writer(
             store,
             clock,
             settings.period_ms,
-            who.release,
-            who.name,
-            who.senders,
-            book.generation if book is not None else 0,
+            identity.release,
+            identity.name,
+            identity.senders,
+            checkpoint.generation if checkpoint is not None else 0,
         )
-        lives = lives_of(settings)
-        for number in range(who.planners):
-            terms = Terms(number, who.planners, who.senders, lives, settings.most_age_ms)
-            self.keepers[number] = Keeper(terms, book, writer.inbox.put)
+        half_lives = half_lives_from(settings)
+        for number in range(identity.planners):
+            planner_settings = PlannerMemorySettings(
+                number, identity.planners, identity.senders, half_lives, settings.most_age_ms
+            )
+            self.planner_memories[number] = PlannerMemory(planner_settings, checkpoint, writer.inbox.put)
 
     @staticmethod
-    def _say(book: Book | None, now_ms: float, most_age_ms: float) -> None:
-        if book is None:
+    def _log_loaded(checkpoint: Checkpoint | None, now_ms: float, max_age_ms: float) -> None:
+        if checkpoint is None:
             logger.info("memory: nothing is known yet", event="memory-empty")
             return
-        age_s = (now_ms - book.saved_ms) / 1000.0
+        age_s = (now_ms - checkpoint.saved_ms) / 1000.0
         if age_s < 0:
             logger.warning(
-                "memory: written {ahead_s:.0f} s in the future; taken to be as old as that",
+                "memory: saved {ahead_s:.0f} s in the future; its age is taken to be that difference",
                 event="memory-from-the-future",
                 ahead_s=-age_s,
             )
-        if abs(age_s) * 1000.0 > most_age_ms:
+        if abs(age_s) * 1000.0 > max_age_ms:
             logger.warning(
-                "memory: {age_s:.0f} s old, beyond the greatest age: nothing of it counts",
+                "memory: {age_s:.0f} s old, older than the maximum age: ignored",
                 event="memory-too-old",
                 age_s=abs(age_s),
             )
         logger.info(
             "memory: generation {generation} of release {release}, {age_s:.0f} s old, {count} servers",
             event="memory-read",
-            generation=book.generation,
-            release=book.release,
+            generation=checkpoint.generation,
+            release=checkpoint.release,
             age_s=age_s,
-            count=len(book.servers),
+            count=len(checkpoint.servers),
         )
 
     def start(self) -> None:
+        """Start the writer's thread."""
         if self._writer is not None:
             start_thread(self._writer.run, "memory")
 
     def close(self) -> None:
-        """Write what is not yet written; a disk that does not come back is left behind."""
+        """Write pending data; a disk that does not respond within CLOSE_MS is abandoned."""
         if self._writer is None:
             return
-        by_ms = self._clock.now_ms() + CLOSE_MS
-        self._writer.inbox.put(End())
-        if not self._writer.ended.wait(self._clock.seconds_until(by_ms)):
+        end_by_ms = self._clock.now_ms() + CLOSE_MS
+        self._writer.inbox.put(Shutdown())
+        if not self._writer.ended.wait(self._clock.seconds_until(end_by_ms)):
             logger.warning(
-                "memory: the last write did not end in time; the one before holds",
+                "memory: the last write did not finish in time; the previous one remains valid",
                 event="memory-last-write-late",
             )
         self._folder.unlock()
--- a/capershelf/memory/schedule.py
+++ b/capershelf/memory/schedule.py
@@ -1,4 +1,7 @@
-"""When to write.  Pure: it is told of changes, writes and failures, and says when the next write is due."""
+"""Decides when the memory is written, and merges the records of several planners.
+
+Pure: the schedule is notified of changes, writes and failures and returns when the next write is due.
+"""
 
 from __future__ import annotations
 
@@ -7,60 +10,66 @@
 
 from capershelf.memory.records import ServerRecord
 
-SOON_MS = 1000.0  # after a large change, and the least time between two writes
-FIRST_BACK_OFF_MS = 1000.0  # after a failure, doubling
-MOST_BACK_OFF_MS = 300_000.0
-LARGE = 0.5  # part by which a rate must differ to be a large change,
-LEAST_RATE_PER_S = 1.0  # where it is no less than this
+MIN_WRITE_INTERVAL_MS = 1000.0  # also the delay of the write after a large change
+MIN_BACKOFF_MS = 1000.0  # after the first failure; doubles with each further one
+MAX_BACKOFF_MS = 300_000.0
+LARGE_CHANGE_RATIO = 0.5  # relative difference of a rate that makes a change large
+MIN_LARGE_RATE_PER_S = 1.0  # changes between lower rates are never large
 
 
-class Schedule:
-    """Owned by the writer's thread."""
+class WriteSchedule:
+    """Computes the time of the next write; used by the writer's thread only."""
 
     def __init__(self, period_ms: float, now_ms: float) -> None:
         self._period_ms = period_ms
         self._last_ms = now_ms
-        self._back_off_ms = 0.0
-        self._changed = self._large = False
+        self._backoff_ms = 0.0
+        self._pending = self._large_change = False
 
-    def changed(self, large: bool) -> None:
-        """There is something to write."""
-        self._changed = True
-        self._large |= large
+    def mark_changed(self, large: bool) -> None:
+        """Record that there is unwritten data."""
+        self._pending = True
+        self._large_change |= large
 
     def due_ms(self) -> float:
-        """When to write next; infinity while there is nothing new."""
-        if not self._changed:
+        """Return when to write next; infinity while there is nothing to write."""
+        if not self._pending:
             return math.inf
-        wait_ms = min(SOON_MS, self._period_ms) if self._large else self._period_ms
-        return self._last_ms + max(wait_ms, self._back_off_ms)
+        wait_ms = min(MIN_WRITE_INTERVAL_MS, self._period_ms) if self._large_change else self._period_ms
+        return self._last_ms + max(wait_ms, self._backoff_ms)
+
+    def write_succeeded(self, now_ms: float) -> None:
+        self._last_ms, self._backoff_ms = now_ms, 0.0
+        self._pending = self._large_change = False
 
-    def wrote(self, now_ms: float) -> None:
-        self._last_ms, self._back_off_ms = now_ms, 0.0
-        self._changed = self._large = False
+    def write_failed(self, now_ms: float) -> float:
+        """Record a failed write and return the delay of the next one.
 
-    def failed(self, now_ms: float) -> float:
-        """A write failed; how long the next waits.  Guards the log and the disk against endless tries."""
+        The backoff keeps a failing disk from being written to, and the log from being filled, without limit.
+        """
         self._last_ms = now_ms
-        self._back_off_ms = min(MOST_BACK_OFF_MS, max(FIRST_BACK_OFF_MS, 2.0 * self._back_off_ms))
-        return self._back_off_ms
+        self._backoff_ms = min(MAX_BACKOFF_MS, max(MIN_BACKOFF_MS, 2.0 * self._backoff_ms))
+        return self._backoff_ms
 
 
-def large_change(old: ServerRecord | None, new: ServerRecord | None) -> bool:
-    """Whether this is worth a write before the period is over: a server new, gone, started again, silent or
-    back, or of quite another rate."""
+def is_large_change(old: ServerRecord | None, new: ServerRecord | None) -> bool:
+    """Whether a change justifies a write before the period ends.
+
+    True for a server that is new, removed, restarted, newly ejected or readmitted, or that has a very
+    different rate.
+    """
     if old is None or new is None:
         return old is not new
     if (old.silent, old.started_ms, old.endpoint) != (new.silent, new.started_ms, new.endpoint):
         return True
     most = max(old.rate_per_s, new.rate_per_s)
-    return most >= LEAST_RATE_PER_S and abs(new.rate_per_s - old.rate_per_s) > LARGE * most
+    return most >= MIN_LARGE_RATE_PER_S and abs(new.rate_per_s - old.rate_per_s) > LARGE_CHANGE_RATIO * most
 
 
-def merge(parts: list[Mapping[str, ServerRecord]]) -> tuple[ServerRecord, ...]:
-    """What several planners of one proxy know, as one: rates and thresholds add up, of the rest the newest.
+def merge_records(parts: list[Mapping[str, ServerRecord]]) -> tuple[ServerRecord, ...]:
+    """Merge the records of one proxy's planners: rates and thresholds add up, other fields are the newest.
 
-    A planner that knows no threshold has met none, so it adds nothing to the others'.
+    A planner that knows no threshold has not reached one, so it adds nothing to the sum.
     """
     by_uid: dict[str, list[ServerRecord]] = {}
     for part in parts:
--- a/capershelf/memory/store.py
+++ b/capershelf/memory/store.py
@@ -1,4 +1,4 @@
-"""The book of one proxy in its folder: the newest whole generation is read, the older one written over."""
+"""Reads and writes one proxy's checkpoints: the newest valid generation is read, the older overwritten."""
 
 from __future__ import annotations
 
@@ -6,61 +6,63 @@
 
 from capershelf.memory.disk import Disk
 from capershelf.memory.format import decode, encode
-from capershelf.memory.generations import Generations, NewerError, RefusedError, SpoiltError
-from capershelf.memory.records import Book
+from capershelf.memory.generations import Generations, NewerFormatError, RejectedFileError, CorruptFileError
+from capershelf.memory.records import Checkpoint
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What lies under one of the two names; book, or why there is none."""
+class FoundFile:
+    """One of the two files: its checkpoint, or why it is unusable."""
 
     name: str
-    book: Book | None
+    checkpoint: Checkpoint | None
     problem: str = ""
     kind: str = ""  # spoilt, refused or newer
 
 
 class Store:
-    """One thread at a time; with a proxy's name only its own book is taken."""
+    """Not thread-safe; with a proxy's name only that proxy's checkpoints are accepted."""
 
     def __init__(self, disk: Disk, proxy: str, key: bytes | None) -> None:
         self._files, self._proxy, self._key = Generations(disk, "memory"), proxy, key
 
-    def look(self) -> list[Found]:
-        """Both generations as they are, newest first among the whole ones; nothing is changed."""
+    def inspect(self) -> list[FoundFile]:
+        """Read both generations without changing them, the newest valid one first."""
         found = []
         for name, data in self._files.read():
             try:
-                book = decode(data, self._key)
-                if self._proxy and book.proxy != self._proxy:
-                    raise RefusedError(f"it is the memory of {book.proxy!r}")
-                found.append(Found(name, book))
-            except NewerError as problem:
-                found.append(Found(name, None, str(problem), "newer"))
-            except SpoiltError as problem:
-                found.append(Found(name, None, str(problem), "spoilt"))
-            except RefusedError as problem:
-                found.append(Found(name, None, str(problem), "refused"))
-        return sorted(found, key=lambda one: -1 if one.book is None else one.book.generation, reverse=True)
+                checkpoint = decode(data, self._key)
+                if self._proxy and checkpoint.proxy != self._proxy:
+                    raise RejectedFileError(f"it is the memory of {checkpoint.proxy!r}")
+                found.append(FoundFile(name, checkpoint))
+            except NewerFormatError as problem:
+                found.append(FoundFile(name, None, str(problem), "newer"))
+            except CorruptFileError as problem:
+                found.append(FoundFile(name, None, str(problem), "spoilt"))
+            except RejectedFileError as problem:
+                found.append(FoundFile(name, None, str(problem), "refused"))
+        return sorted(
+            found, key=lambda one: -1 if one.checkpoint is None else one.checkpoint.generation, reverse=True
+        )
 
-    def load(self) -> tuple[Book | None, list[str]]:
-        """The newest whole book, and a line for each file that was set aside.
+    def load(self) -> tuple[Checkpoint | None, list[str]]:
+        """Return the newest valid checkpoint and a message for each quarantined file.
 
-        NewerError where a later release has written here: then this one must neither read nor write.
+        Raises NewerFormatError if a later release wrote here: this one must then neither read nor write.
         """
-        said = []
-        found = self.look()
+        messages = []
+        found = self.inspect()
         for one in found:
             if one.kind == "newer":
-                raise NewerError(f"{one.name}: {one.problem}")
+                raise NewerFormatError(f"{one.name}: {one.problem}")
         for one in found:
-            if one.book is None:
-                kept = self._files.set_aside(one.name, one.kind)
-                said.append(f"{one.name}: {one.problem}; kept as {kept}")
-        return next((one.book for one in found if one.book is not None), None), said
+            if one.checkpoint is None:
+                kept = self._files.quarantine(one.name, one.kind)
+                messages.append(f"{one.name}: {one.problem}; kept as {kept}")
+        return next((one.checkpoint for one in found if one.checkpoint is not None), None), messages
 
-    def save(self, book: Book) -> int:
-        """Write it in place of the older generation; the bytes written.  OSError leaves both readable."""
-        data = encode(book, self._key)
-        self._files.write(book.generation, data)
+    def save(self, checkpoint: Checkpoint) -> int:
+        """Replace the older generation; return the number of bytes.  After an OSError both are readable."""
+        data = encode(checkpoint, self._key)
+        self._files.write(checkpoint.generation, data)
         return len(data)
--- a/capershelf/memory/trust.py
+++ b/capershelf/memory/trust.py
@@ -1,13 +1,14 @@
-"""Whose knowledge still holds.  Pure; the only way for a remembered server to count as warm.
+"""Decides which stored records are still valid.  Pure; the only way for a restored server to count as warm.
 
-What proves that the process is the one that was known:
+A record belongs to the running process if:
 
-1. the list names the same uid at the same address, in service, and no other server at that address; and
-2. a. it gives the same start instant as then, which lies before the last thing that was learned of it; or
-   b. it gives none, then and now, and its source shows every late start (a notice board, by its protocol).
+1. the list has the same uid at the same address, active, and no other active server at that address; and
+2. a. its start time is the stored one, and earlier than the last update of the record; or
+   b. neither the list nor the record has a start time, and the source reports every late start (a notice
+      board, by its protocol).
 
-Nothing else does.  Knowledge never enters the cold budget, proved or not: that rests on the list's start
-instant and on what this life has seen.
+Nothing else proves it.  Restored knowledge never affects the cold budget, proved or not: that uses the
+start time in the list and what was observed since this proxy started.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 from capershelf.memory.records import ServerRecord
 
 
-class Verdict(Enum):
-    """What of a record may be used."""
+class Eligibility(Enum):
+    """Whether a stored record may be used, and if not, why."""
 
     SAME = "the same process"
     UNPROVEN = "nothing proves that it is the same process"
@@ -34,39 +35,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
-    """A record with what may be used of it."""
+class AssessedRecord:
+    """A record and its eligibility."""
 
     record: ServerRecord
-    verdict: Verdict
+    eligibility: Eligibility
 
 
-def judge(record: ServerRecord, located: LocatedServer, vouches: bool, shared: bool) -> Verdict:
-    """What of the record may be used for the server that is listed now."""
+def assess_record(record: ServerRecord, located: LocatedServer, vouches: bool, shared: bool) -> Eligibility:
+    """Compare the record with the server as it is listed now."""
     listed = located.listed
     if listed.status is not ServerStatus.ACTIVE:
-        return Verdict.LEAVING
+        return Eligibility.LEAVING
     if located.endpoint != record.endpoint:
-        return Verdict.MOVED
+        return Eligibility.MOVED
     if shared:
-        return Verdict.SHARED
+        return Eligibility.SHARED
     now, then = listed.started_ms, record.started_ms
     if now is None and then is None:
-        return Verdict.SAME if vouches and record.vouched else Verdict.UNPROVEN
+        return Eligibility.SAME if vouches and record.vouched else Eligibility.UNPROVEN
     if now is None:
-        return Verdict.UNPROVEN  # a registry that has forgotten the start can't show the next one either
+        return Eligibility.UNPROVEN  # a registry that lost the start time can't report the next start either
     if now != then:
-        return Verdict.STARTED_SINCE
-    return Verdict.SAME if now <= record.seen_ms else Verdict.IMPOSSIBLE
+        return Eligibility.STARTED_SINCE
+    return Eligibility.SAME if now <= record.seen_ms else Eligibility.IMPOSSIBLE
 
 
-def judge_list(records: dict[str, ServerRecord], news: ServerListUpdate) -> list[Judged]:
-    """All servers that the news names and a record knows."""
-    places = Counter(
+def assess_records(records: dict[str, ServerRecord], news: ServerListUpdate) -> list[AssessedRecord]:
+    """Assess every listed server that has a record."""
+    active_per_endpoint = Counter(
         located.endpoint for located in news.servers if located.listed.status is ServerStatus.ACTIVE
     )
     return [
-        Judged(record, judge(record, located, news.reports_all_starts, places[located.endpoint] > 1))
+        AssessedRecord(
+            record,
+            assess_record(
+                record, located, news.reports_all_starts, active_per_endpoint[located.endpoint] > 1
+            ),
+        )
         for located in news.servers
         if (record := records.get(located.listed.server)) is not None
     ]
--- a/capershelf/memory/writer.py
+++ b/capershelf/memory/writer.py
@@ -1,4 +1,4 @@
-"""The one thread that touches the disk.  Planners reach it by its inbox and never wait for it."""
+"""The only thread that accesses the disk.  Planners send to its inbox and never wait for it."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from capershelf.core.clock import Clock, Inbox
 from capershelf.memory.keeper import Snapshot
-from capershelf.memory.records import Book
-from capershelf.memory.schedule import Schedule, merge
+from capershelf.memory.records import Checkpoint
+from capershelf.memory.schedule import WriteSchedule, merge_records
 from capershelf.memory.store import Store
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    """Write what is not yet written, then end."""
+class Shutdown:
+    """Write pending data, then stop."""
 
 
 class Writer:
-    """Runs until it is told to end; a disk that fails is tried again ever more seldom."""
+    """Writes checkpoints until Shutdown; failed writes are retried with exponential backoff."""
 
     def __init__(
         self,
@@ -33,18 +33,18 @@
         senders: int,
         generation: int,
     ) -> None:
-        self.inbox: Inbox[Snapshot | End] = Inbox(clock)
+        self.inbox: Inbox[Snapshot | Shutdown] = Inbox(clock)
         self.ended = threading.Event()
         self.writes, self.failures = 0, 0
         self.last_bytes, self.last_ms = 0, 0.0
         self._store, self._clock = store, clock
         self._release, self._proxy, self._senders = release, proxy, senders
         self._generation = generation
-        self._schedule = Schedule(period_ms, clock.now_ms())
+        self._schedule = WriteSchedule(period_ms, clock.now_ms())
         self._parts: dict[int, Snapshot] = {}
 
     def run(self) -> None:
-        """One snapshot a planner is all that is ever kept, however long the disk takes."""
+        """Process snapshots; only the newest of each planner is held, however slow the disk is."""
         try:
             ending = False
             while not ending:
@@ -52,8 +52,8 @@
                 if isinstance(event, Snapshot):
                     event.taken = True
                     self._parts[event.planner] = event
-                    self._schedule.changed(event.large)
-                ending = isinstance(event, End)
+                    self._schedule.mark_changed(event.large)
+                ending = isinstance(event, Shutdown)
                 due = self._clock.now_ms() >= self._schedule.due_ms()
                 if due or ending and self._schedule.due_ms() < math.inf:
                     self._write()
@@ -62,22 +62,22 @@
 
     def _write(self) -> None:
         began_ms = self._clock.now_ms()
-        book = Book(
+        checkpoint = Checkpoint(
             release=self._release,
             proxy=self._proxy,
             generation=self._generation + 1,
             saved_ms=began_ms,
             senders=self._senders,
             asked_per_s=sum(part.asked_per_s for part in self._parts.values()),
-            servers=merge([part.servers for part in self._parts.values()]),
+            servers=merge_records([part.servers for part in self._parts.values()]),
         )
         try:
-            self.last_bytes = self._store.save(book)
-        except Exception as problem:  # whatever a disk does, service goes on and the next try is planned
+            self.last_bytes = self._store.save(checkpoint)
+        except Exception as problem:  # a disk error must not stop the proxy: schedule a retry
             self.failures += 1
-            again_ms = self._schedule.failed(self._clock.now_ms())
+            again_ms = self._schedule.write_failed(self._clock.now_ms())
             logger.warning(
-                "memory: not written, again in {again_s:.0f} s: {problem}",
+                "memory: write failed, retry in {again_s:.0f} s: {problem}",
                 event="memory-unwritten",
                 again_s=again_ms / 1000.0,
                 problem=problem,
@@ -85,18 +85,18 @@
             return
         if self.failures:
             logger.info(
-                "memory: written again after {count} failures",
+                "memory: write succeeded after {count} failures",
                 event="memory-written-again",
                 count=self.failures,
             )
         self.writes, self.failures = self.writes + 1, 0
-        self._generation = book.generation
+        self._generation = checkpoint.generation
         self.last_ms = self._clock.now_ms() - began_ms
-        self._schedule.wrote(self._clock.now_ms())
+        self._schedule.write_succeeded(self._clock.now_ms())
         logger.debug(
             "memory: {count} servers, {bytes} bytes in {took_ms:.1f} ms",
             event="memory-written",
-            count=len(book.servers),
+            count=len(checkpoint.servers),
             bytes=self.last_bytes,
             took_ms=self.last_ms,
         )
--- a/capershelf/node.py
+++ b/capershelf/node.py
@@ -84,10 +84,10 @@
     """What survives restart, where an operator's file turns it on; nothing is imported for it else."""
     if config.memory is None:
         return None
-    from capershelf.memory.memory import Memory, Who
+    from capershelf.memory.memory import Memory, ProxyIdentity
 
     senders = config.settings.gateway_count
-    return Memory(config.memory, Who(config.name, VERSION, senders, config.planners), clock)
+    return Memory(config.memory, ProxyIdentity(config.name, VERSION, senders, config.planners), clock)
 
 
 def open_subset(config: Config, settings: api.Settings) -> m.Subset | None:
@@ -142,7 +142,7 @@
             )
         self.memory = open_memory(config, self.clock)
         if self.memory is not None:
-            for planner, keeper in zip(self.planners, self.memory.keepers, strict=True):
+            for planner, keeper in zip(self.planners, self.memory.planner_memories, strict=True):
                 planner.memory = keeper
         self.fronts: list[Listener] = []
         self.houses: list[FrontContext] = []
--- a/capershelf/stream/keep.py
+++ b/capershelf/stream/keep.py
@@ -5,7 +5,14 @@
 import msgspec
 
 from capershelf.memory.disk import Disk
-from capershelf.memory.generations import Generations, NewerError, RefusedError, SpoiltError, frame, unframe
+from capershelf.memory.generations import (
+    Generations,
+    NewerFormatError,
+    RejectedFileError,
+    CorruptFileError,
+    frame,
+    unframe,
+)
 from capershelf.stream import document as doc
 from capershelf.stream.ledger import Number
 
@@ -37,16 +44,16 @@
         self._generation = 0
 
     def load(self) -> tuple[Kept | None, list[str]]:
-        """The newest whole one, a line for each file set aside; NewerError where a later release wrote."""
+        """The newest whole one, a line for each file set aside; NewerFormatError for a later release's."""
         found, said = [], []
         for name, data in list(self._files.read()):
             try:
                 found.append(self._read(data))
-            except NewerError as problem:
-                raise NewerError(f"{name}: {problem}") from problem
-            except (SpoiltError, RefusedError) as problem:
-                kind = "refused" if isinstance(problem, RefusedError) else "spoilt"
-                said.append(f"{name}: {problem}; kept as {self._files.set_aside(name, kind)}")
+            except NewerFormatError as problem:
+                raise NewerFormatError(f"{name}: {problem}") from problem
+            except (CorruptFileError, RejectedFileError) as problem:
+                kind = "refused" if isinstance(problem, RejectedFileError) else "spoilt"
+                said.append(f"{name}: {problem}; kept as {self._files.quarantine(name, kind)}")
         newest = max(found, key=lambda kept: kept.generation, default=None)
         self._generation = newest.generation if newest is not None else 0
         return newest, said
@@ -56,11 +63,11 @@
         try:
             kept = msgspec.msgpack.decode(body, type=Kept)
         except msgspec.DecodeError as problem:
-            raise SpoiltError(f"the body can't be read: {problem}") from problem
+            raise CorruptFileError(f"the body can't be read: {problem}") from problem
         if kept.proxy != self._proxy:
-            raise RefusedError(f"it is the configuration of {kept.proxy!r}")
+            raise RejectedFileError(f"it is the configuration of {kept.proxy!r}")
         if doc.digest(kept.document) != kept.digest:
-            raise SpoiltError("its document is not of its digest")
+            raise CorruptFileError("its document is not of its digest")
         return kept
 
     def save(self, number: Number, digest: str, document: bytes, now_ms: float) -> None:
--- a/capershelf/stream/stream.py
+++ b/capershelf/stream/stream.py
@@ -11,8 +11,8 @@
 from capershelf import config as configuration
 from capershelf.config import Config
 from capershelf.core.clock import Clock, SystemClock
-from capershelf.memory.disk import BusyError, Folder
-from capershelf.memory.generations import NewerError
+from capershelf.memory.disk import FolderLockedError, Folder
+from capershelf.memory.generations import NewerFormatError
 from capershelf.net.connection import start_thread
 from capershelf.release import VERSION
 from capershelf.stream import document as doc
@@ -52,7 +52,7 @@
             self._folder.lock()
             keep = Keep(self._folder, self._base.name)
             kept, said = keep.load()
-        except (BusyError, NewerError, OSError) as problem:
+        except (FolderLockedError, NewerFormatError, OSError) as problem:
             logger.warning(
                 "stream: {problem}; no version is read or kept there",
                 event="version-folder-unusable",
--- a/lab/memory_cost.py
+++ b/lab/memory_cost.py
@@ -13,9 +13,9 @@
 from capershelf.interface import LearnedServer, ListedServer, ServerStatus
 from capershelf.memory.ageing import HalfLives
 from capershelf.memory.disk import Folder
-from capershelf.memory.keeper import A_SWEEP, Keeper, Snapshot, Terms
-from capershelf.memory.records import Book
-from capershelf.memory.schedule import merge
+from capershelf.memory.keeper import MAX_SERVERS_PER_COLLECT, PlannerMemory, Snapshot, PlannerMemorySettings
+from capershelf.memory.records import Checkpoint
+from capershelf.memory.schedule import merge_records
 from capershelf.memory.store import Store
 
 ROUNDS = 200
@@ -42,12 +42,14 @@
     return 1000.0 * (time.perf_counter() - began)
 
 
-def touch_all(keeper: Keeper, uids: list[str]) -> None:
+def touch_all(keeper: PlannerMemory, uids: list[str]) -> None:
     for uid in uids:
         keeper.mark_changed(uid)
 
 
-def keeper_of(servers: int, book: Book | None) -> tuple[Keeper, m.ServerListUpdate, list[Snapshot]]:
+def keeper_of(
+    servers: int, book: Checkpoint | None
+) -> tuple[PlannerMemory, m.ServerListUpdate, list[Snapshot]]:
     handed: list[Snapshot] = []
     news = m.ServerListUpdate(
         1,
@@ -60,8 +62,8 @@
         ),
         reports_all_starts=True,
     )
-    terms = Terms(0, 1, 4, HalfLives(), 7 * 86_400_000.0)
-    return Keeper(terms, book, handed.append), news, handed
+    terms = PlannerMemorySettings(0, 1, 4, HalfLives(), 7 * 86_400_000.0)
+    return PlannerMemory(terms, book, handed.append), news, handed
 
 
 def cost(servers: int) -> dict[str, float]:
@@ -75,17 +77,20 @@
     sweeps, touches = [], []
     for number in range(ROUNDS):
         handed[-1].taken = True  # each sweep hands a snapshot over
-        touched = [f"server-{(number * A_SWEEP + n) % servers:06d}" for n in range(A_SWEEP)]
-        touches.append(took_ms(partial(touch_all, keeper, touched)) / A_SWEEP)
+        touched = [
+            f"server-{(number * MAX_SERVERS_PER_COLLECT + n) % servers:06d}"
+            for n in range(MAX_SERVERS_PER_COLLECT)
+        ]
+        touches.append(took_ms(partial(touch_all, keeper, touched)) / MAX_SERVERS_PER_COLLECT)
         sweeps.append(took_ms(partial(keeper.collect, door, NOW_MS + 1000.0 * (number + 1), False)))
-    book = Book(
+    book = Checkpoint(
         release="lab",
         proxy="p",
         generation=1,
         saved_ms=NOW_MS,
         senders=4,
         asked_per_s=100.0,
-        servers=merge([handed[-1].servers]),
+        servers=merge_records([handed[-1].servers]),
     )
     with tempfile.TemporaryDirectory() as folder:
         store = Store(Folder(Path(folder)), "p", None)
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -1,4 +1,6 @@
-"""A proxy of the model: a real Controller, a real Keeper, and a small host that carries their actions out."""
+"""A proxy of the model: a real Controller, a real PlannerMemory, and a small host that carries their
+actions out.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +11,9 @@
 from capershelf.control import Controller
 from capershelf.core import model as m
 from capershelf.memory.ageing import HalfLives
-from capershelf.memory.keeper import Keeper, Snapshot, Terms
-from capershelf.memory.records import Book
-from capershelf.memory.schedule import merge
+from capershelf.memory.keeper import PlannerMemory, Snapshot, PlannerMemorySettings
+from capershelf.memory.records import Checkpoint
+from capershelf.memory.schedule import merge_records
 from lab.engine import Engine
 from lab.rules import Rules
 from lab.world import Arrival, Contract, Server, SetUp
@@ -88,13 +90,13 @@
         self.asked: dict[int, Asked] = {}
         self.version = self.probes = 0
 
-    def up(self, book: Book | None) -> None:
+    def up(self, book: Checkpoint | None) -> None:
         """Start with what is remembered, or with nothing."""
         self.life += 1
         self.alive = True
         self.controller = Controller(settings(self.contract, self.number, self.count), self.seed + self.life)
-        terms = Terms(0, 1, self.count, HalfLives(), 7 * 86_400_000.0)
-        self.keeper = Keeper(terms, book, self._hand_over)
+        terms = PlannerMemorySettings(0, 1, self.count, HalfLives(), 7 * 86_400_000.0)
+        self.keeper = PlannerMemory(terms, book, self._hand_over)
         self.list_servers()
         for server in self.servers:
             self.feed(api.ServerReport(server.uid, api.Result.OK, server.report(unasked=True), False))
@@ -114,7 +116,7 @@
             self.feed(known)
         self.feed(api.ServerList(self.version, True, tuple(one.listed for one in listed)))
 
-    def down(self) -> Book | None:
+    def down(self) -> Checkpoint | None:
         """Killed: the callers lose their connection, the servers their set-ups.  What the last write held."""
         self.alive = False
         self.life += 1
@@ -126,14 +128,14 @@
         self.asked.clear()
         if self.handed is None:
             return None
-        return Book(
+        return Checkpoint(
             release="lab",
             proxy=f"p{self.number}",
             generation=1,
             saved_ms=self.handed.at_ms,
             senders=self.count,
             asked_per_s=self.handed.asked_per_s,
-            servers=merge([self.handed.servers]),
+            servers=merge_records([self.handed.servers]),
         )
 
     def _hand_over(self, snapshot: Snapshot) -> None:
--- a/lab/restart.py
+++ b/lab/restart.py
@@ -14,7 +14,7 @@
 import msgspec
 import numpy as np
 
-from capershelf.memory.records import Book
+from capershelf.memory.records import Checkpoint
 from lab.engine import Engine
 from lab.proxy import Proxy
 from lab.rules import Rules
@@ -122,7 +122,7 @@
                 if proxy.alive:  # they hear of it from the list, as the restarted ones do at their start
                     self.engine.after(LISTED_AFTER_MS, proxy.list_servers)
 
-    def _remembered(self, book: Book | None) -> Book | None:
+    def _remembered(self, book: Checkpoint | None) -> Checkpoint | None:
         if book is None or self.arm.memory == "none":
             return None
         older_ms = {"fresh": 0.0, "hour": HOUR_MS, "day": DAY_MS}[self.arm.memory]
--- a/tests/memory_rig.py
+++ b/tests/memory_rig.py
@@ -14,7 +14,7 @@
 from capershelf import interface as api
 from capershelf.core import model as m
 from capershelf.memory.disk import Folder
-from capershelf.memory.records import Book, ServerRecord
+from capershelf.memory.records import Checkpoint, ServerRecord
 
 SECTOR = 512
 NOW_MS = 1_700_000_000_000.0
@@ -37,9 +37,9 @@
     return msgspec.structs.replace(known, **changes)
 
 
-def book(generation: int = 1, count: int = 3, **changes: Any) -> Book:
-    """A book that is told apart from others by its generation, in every record."""
-    known = Book(
+def checkpoint(generation: int = 1, count: int = 3, **changes: Any) -> Checkpoint:
+    """A checkpoint that is told apart from others by its generation, in every record."""
+    known = Checkpoint(
         release="0.2.0",
         proxy="p1",
         generation=generation,
@@ -64,7 +64,7 @@
     return m.ServerListUpdate(1, whole, servers, vouches)
 
 
-class CutError(Exception):
+class PowerLossError(Exception):
     """The power is gone."""
 
 
@@ -76,7 +76,7 @@
         self.written = b""
 
 
-class PowerSupply:
+class CrashingDisk:
     """A Disk that loses its power after so many steps; then every write not yet synced may be lost, torn at a
     sector or kept, each for itself, and so may every change of a name, in any choice of them."""
 
@@ -88,14 +88,14 @@
 
     def _step(self) -> None:
         if self.steps == 0:
-            raise CutError
+            raise PowerLossError
         self.steps -= 1
 
     def names(self) -> list[str]:
         return sorted(self.now)
 
-    def read(self, name: str, most: int) -> bytes:
-        return self.now[name].written[:most]
+    def read(self, name: str, max_bytes: int) -> bytes:
+        return self.now[name].written[:max_bytes]
 
     def write(self, name: str, data: bytes) -> None:
         file = File()
@@ -130,12 +130,12 @@
             change(self.kept)
         self.pending.clear()
 
-    def come_back(self, chance: random.Random) -> PowerSupply:
+    def after_power_loss(self, chance: random.Random) -> CrashingDisk:
         """The folder as it may be found when the power is back."""
         for change in self.pending:
             if chance.random() < 0.5:
                 change(self.kept)
-        back = PowerSupply(10_000)
+        back = CrashingDisk(10_000)
         for name, file in self.kept.items():
             found = File()
             found.kept = found.written = self._torn(file, chance)
--- a/tests/test_memory_decisions.py
+++ b/tests/test_memory_decisions.py
@@ -15,14 +15,28 @@
 
 from capershelf import interface as api
 from capershelf.control import ASSUMED_COLD_SET_UPS, ASSUMED_SERVED_SHARE, MIN_THRESHOLD
-from capershelf.memory.ageing import Clocks, HalfLives, age_asked, age_server, part_of, way_only, weight
-from capershelf.memory.keeper import A_SWEEP, HAND_OVER_MS, Keeper, Snapshot, Terms
-from capershelf.memory.records import Book, ServerRecord
-from capershelf.memory.schedule import MOST_BACK_OFF_MS, Schedule, large_change, merge
-from capershelf.memory.trust import Verdict, judge_list
+from capershelf.memory.ageing import (
+    CheckpointAge,
+    HalfLives,
+    age_new_call_rate,
+    age_server,
+    planner_share,
+    latency_only,
+    weight,
+)
+from capershelf.memory.keeper import (
+    MAX_SERVERS_PER_COLLECT,
+    MIN_SNAPSHOT_INTERVAL_MS,
+    PlannerMemory,
+    Snapshot,
+    PlannerMemorySettings,
+)
+from capershelf.memory.records import Checkpoint, ServerRecord
+from capershelf.memory.schedule import MAX_BACKOFF_MS, WriteSchedule, is_large_change, merge_records
+from capershelf.memory.trust import Eligibility, assess_records
 from capershelf.estimation import RATE_FADE_MS
 from capershelf.estimation.cold_budget import fleet_limit
-from tests.memory_rig import NOW_MS, book, located, news, record
+from tests.memory_rig import NOW_MS, checkpoint, located, news, record
 from tests.rig import Rig, listed
 
 HALF_LIVES = HalfLives()
@@ -33,7 +47,9 @@
 
 # -- ageing -------------------------------------------------------------------------------------------
 def aged(age_ms: float, part: float = 1.0, **changes: Any) -> api.LearnedServer | None:
-    return age_server(record(**changes), Clocks(NOW_MS, NOW_MS + age_ms), HALF_LIVES, MOST_AGE_MS, part)
+    return age_server(
+        record(**changes), CheckpointAge(NOW_MS, NOW_MS + age_ms), HALF_LIVES, MOST_AGE_MS, part
+    )
 
 
 def test_each_kind_of_knowledge_has_its_own_half_life() -> None:
@@ -78,25 +94,34 @@
 
 def test_a_clock_step_makes_knowledge_older_never_newer() -> None:
     for step_ms in (-HOUR_MS, HOUR_MS):
-        clocks = Clocks(NOW_MS, NOW_MS + step_ms)
-        assert clocks.age_ms(NOW_MS) == HOUR_MS
-        assert clocks.age_ms(NOW_MS - 5.0) == HOUR_MS + 5.0
-        assert clocks.age_ms(NOW_MS + 5.0) == HOUR_MS  # learned after the write: the clock was set in between
-    assert Clocks(NOW_MS, NOW_MS - 3.0).ahead_ms == 3.0
-    assert Clocks(NOW_MS, NOW_MS + 3.0).ahead_ms == 0.0
+        checkpoint_age = CheckpointAge(NOW_MS, NOW_MS + step_ms)
+        assert checkpoint_age.age_ms(NOW_MS) == HOUR_MS
+        assert checkpoint_age.age_ms(NOW_MS - 5.0) == HOUR_MS + 5.0
+        assert (
+            checkpoint_age.age_ms(NOW_MS + 5.0) == HOUR_MS
+        )  # learned after the write: the clock was set in between
+    assert CheckpointAge(NOW_MS, NOW_MS - 3.0).ahead_ms == 3.0
+    assert CheckpointAge(NOW_MS, NOW_MS + 3.0).ahead_ms == 0.0
 
 
 def test_shares_scale_with_the_numbers_of_proxies_and_planners() -> None:
-    assert part_of(4, 8, 1) == 0.5
-    assert part_of(4, 4, 2) == 0.5
-    known = aged(0.0, part_of(4, 8, 2))
+    assert planner_share(4, 8, 1) == 0.5
+    assert planner_share(4, 4, 2) == 0.5
+    known = aged(0.0, planner_share(4, 8, 2))
     assert known is not None
     assert known.rate_per_s == 5.0
     assert known.threshold == 10.0  # of 40
     assert aged(0.0, 0.1) == replace(known, rate_per_s=2.0, threshold=MIN_THRESHOLD)
-    clocks = Clocks(NOW_MS + 1, NOW_MS + 1)
-    assert age_asked(book(1, asked_per_s=60.0), clocks, HALF_LIVES, MOST_AGE_MS, 2) == 30.0
-    assert age_asked(book(1), Clocks(NOW_MS, NOW_MS + 8 * DAY_MS), HALF_LIVES, MOST_AGE_MS, 1) == 0.0
+    checkpoint_age = CheckpointAge(NOW_MS + 1, NOW_MS + 1)
+    assert (
+        age_new_call_rate(checkpoint(1, asked_per_s=60.0), checkpoint_age, HALF_LIVES, MOST_AGE_MS, 2) == 30.0
+    )
+    assert (
+        age_new_call_rate(
+            checkpoint(1), CheckpointAge(NOW_MS, NOW_MS + 8 * DAY_MS), HALF_LIVES, MOST_AGE_MS, 1
+        )
+        == 0.0
+    )
 
 
 def test_a_half_life_of_zero_keeps_nothing() -> None:
@@ -106,32 +131,38 @@
 
 
 # -- trust --------------------------------------------------------------------------------------------
-def verdict(known: ServerRecord, *servers: object, vouches: bool = True) -> list[Verdict]:
+def eligibility(known: ServerRecord, *servers: object, vouches: bool = True) -> list[Eligibility]:
     told = news(*servers, vouches=vouches)  # type: ignore[arg-type]
-    return [one.verdict for one in judge_list({known.uid: known}, told)]
+    return [one.eligibility for one in assess_records({known.uid: known}, told)]
 
 
 def test_evidence_that_a_server_is_the_same_process() -> None:
     late = NOW_MS - 1e6
-    assert verdict(record(), located()) == [Verdict.SAME]
-    assert verdict(record(), located(started_ms=late + 1)) == [Verdict.STARTED_SINCE]
-    assert verdict(record(started_ms=None), located()) == [Verdict.STARTED_SINCE]
-    assert verdict(record(), located(started_ms=None)) == [Verdict.UNPROVEN]
-    assert verdict(record(started_ms=None), located(started_ms=None)) == [Verdict.SAME]
-    assert verdict(record(started_ms=None), located(started_ms=None), vouches=False) == [Verdict.UNPROVEN]
-    assert verdict(record(started_ms=None, vouched=False), located(started_ms=None)) == [Verdict.UNPROVEN]
-    assert verdict(record(), located(endpoint="s9:1")) == [Verdict.MOVED]
-    assert verdict(record(), located(), located("s9", endpoint="s0:1")) == [Verdict.SHARED]
-    assert verdict(record(), located(), located("s9", endpoint="s0:1", standing=REMOVED)) == [Verdict.SAME]
-    assert verdict(record(), located("s9", endpoint="s0:1")) == []  # a successor at its address
-    assert verdict(record(), located(standing=DRAINING)) == [Verdict.LEAVING]
-    assert verdict(record(seen_ms=late - 1), located()) == [Verdict.IMPOSSIBLE]
+    assert eligibility(record(), located()) == [Eligibility.SAME]
+    assert eligibility(record(), located(started_ms=late + 1)) == [Eligibility.STARTED_SINCE]
+    assert eligibility(record(started_ms=None), located()) == [Eligibility.STARTED_SINCE]
+    assert eligibility(record(), located(started_ms=None)) == [Eligibility.UNPROVEN]
+    assert eligibility(record(started_ms=None), located(started_ms=None)) == [Eligibility.SAME]
+    assert eligibility(record(started_ms=None), located(started_ms=None), vouches=False) == [
+        Eligibility.UNPROVEN
+    ]
+    assert eligibility(record(started_ms=None, vouched=False), located(started_ms=None)) == [
+        Eligibility.UNPROVEN
+    ]
+    assert eligibility(record(), located(endpoint="s9:1")) == [Eligibility.MOVED]
+    assert eligibility(record(), located(), located("s9", endpoint="s0:1")) == [Eligibility.SHARED]
+    assert eligibility(record(), located(), located("s9", endpoint="s0:1", standing=REMOVED)) == [
+        Eligibility.SAME
+    ]
+    assert eligibility(record(), located("s9", endpoint="s0:1")) == []  # a successor at its address
+    assert eligibility(record(), located(standing=DRAINING)) == [Eligibility.LEAVING]
+    assert eligibility(record(seen_ms=late - 1), located()) == [Eligibility.IMPOSSIBLE]
 
 
 def test_without_proof_only_the_base_latency_is_kept() -> None:
     known = aged(0.0)
     assert known is not None
-    assert way_only(known) == api.LearnedServer("s0", base_latency_ms=8.0)
+    assert latency_only(known) == api.LearnedServer("s0", base_latency_ms=8.0)
 
 
 # -- the keeper ---------------------------------------------------------------------------------------
@@ -151,10 +182,12 @@
 class KeeperRig:
     """A keeper and the snapshots that it hands over."""
 
-    def __init__(self, known: Book | None = None, planners: int = 1, senders: int = 4) -> None:
+    def __init__(self, known: Checkpoint | None = None, planners: int = 1, senders: int = 4) -> None:
         self.handed: list[Snapshot] = []
         self.source = FakeLearnedSource()
-        self.keeper = Keeper(Terms(0, planners, senders, HALF_LIVES, MOST_AGE_MS), known, self.handed.append)
+        self.keeper = PlannerMemory(
+            PlannerMemorySettings(0, planners, senders, HALF_LIVES, MOST_AGE_MS), known, self.handed.append
+        )
 
     def learn(self, uid: str, now_ms: float, **changes: object) -> None:
         self.source.known[uid] = replace(api.LearnedServer(uid, 20.0, 5.0, 8.0), **changes)  # type: ignore[arg-type]
@@ -163,7 +196,7 @@
 
 
 def test_the_keeper_restores_each_server_once_and_the_call_rate_at_the_start() -> None:
-    kept = KeeperRig(book(60, 2))
+    kept = KeeperRig(checkpoint(60, 2))
     first = kept.keeper.recall(news(located("s0")), NOW_MS + 60)
     assert first is not None
     assert first.new_calls_per_s == 60.0
@@ -178,7 +211,7 @@
 
 
 def test_unproven_and_changed_servers_start_without_a_rate() -> None:
-    kept = KeeperRig(book(60, 3))
+    kept = KeeperRig(checkpoint(60, 3))
     found = kept.keeper.recall(
         news(located("s0", started_ms=None), located("s1", started_ms=NOW_MS), located("s2")), NOW_MS + 60
     )
@@ -195,7 +228,7 @@
         located("s0", started_ms=NOW_MS + 5),
         located("s0", endpoint="elsewhere:1"),
     ):
-        kept = KeeperRig(book(1, 1))
+        kept = KeeperRig(checkpoint(1, 1))
         kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS)
         kept.learn("s0", NOW_MS)
         assert "s0" in kept.keeper.servers
@@ -204,7 +237,7 @@
     kept.keeper.recall(news(located("s1")), NOW_MS)
     kept.learn("s0", NOW_MS)
     assert "s0" not in kept.keeper.servers
-    back = KeeperRig(book(1, 1))  # a server that drains at the start loses its knowledge too
+    back = KeeperRig(checkpoint(1, 1))  # a server that drains at the start loses its knowledge too
     back.keeper.recall(news(located("s0", standing=DRAINING)), NOW_MS)
     assert back.keeper.recall(news(located("s0")), NOW_MS) is None
 
@@ -213,29 +246,29 @@
     kept = KeeperRig()
     kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS)
     kept.learn("s0", NOW_MS)
-    kept.learn("s0", NOW_MS + 2 * HAND_OVER_MS, rate_per_s=90.0)
+    kept.learn("s0", NOW_MS + 2 * MIN_SNAPSHOT_INTERVAL_MS, rate_per_s=90.0)
     assert len(kept.handed) == 1  # the first is still pending
     kept.handed[0].taken = True
-    kept.learn("s1", NOW_MS + 4 * HAND_OVER_MS)
+    kept.learn("s1", NOW_MS + 4 * MIN_SNAPSHOT_INTERVAL_MS)
     assert len(kept.handed) == 2
     assert [len(one.servers) for one in kept.handed] == [1, 2]
     assert kept.handed[0].servers["s0"].rate_per_s == 20.0
     assert kept.handed[1].servers["s0"].rate_per_s == 90.0
-    kept.learn("s1", NOW_MS + 5 * HAND_OVER_MS, ejected=True)
+    kept.learn("s1", NOW_MS + 5 * MIN_SNAPSHOT_INTERVAL_MS, ejected=True)
     assert len(kept.handed) == 2
-    kept.keeper.collect(kept.source, NOW_MS + 5 * HAND_OVER_MS, True)
+    kept.keeper.collect(kept.source, NOW_MS + 5 * MIN_SNAPSHOT_INTERVAL_MS, True)
     assert kept.handed[2].servers["s1"].silent
 
 
 def test_a_sweep_collects_a_bounded_number_and_the_last_one_all() -> None:
     kept = KeeperRig()
-    uids = [f"s{n}" for n in range(5 * A_SWEEP)]
+    uids = [f"s{n}" for n in range(5 * MAX_SERVERS_PER_COLLECT)]
     kept.keeper.recall(news(*(located(uid) for uid in uids)), NOW_MS)
     for uid in uids:
         kept.source.known[uid] = api.LearnedServer(uid)
         kept.keeper.mark_changed(uid)
     kept.keeper.collect(kept.source, NOW_MS, False)
-    assert len(kept.keeper.servers) == A_SWEEP
+    assert len(kept.keeper.servers) == MAX_SERVERS_PER_COLLECT
     kept.keeper.collect(kept.source, NOW_MS, True)
     assert len(kept.keeper.servers) == len(uids)
 
@@ -252,7 +285,7 @@
 
 
 def test_knowledge_carried_over_two_restarts_keeps_its_age() -> None:
-    kept = KeeperRig(book(1, 1, asked_per_s=0.0, saved_ms=NOW_MS))
+    kept = KeeperRig(checkpoint(1, 1, asked_per_s=0.0, saved_ms=NOW_MS))
     kept.keeper.recall(news(located("s0")), NOW_MS + HOUR_MS)
     kept.keeper.collect(kept.source, NOW_MS + HOUR_MS, True)
     assert kept.handed[0].servers["s0"].seen_ms == NOW_MS
@@ -262,37 +295,39 @@
 
 # -- writing ------------------------------------------------------------------------------------------
 def test_writes_follow_the_period_come_sooner_after_a_large_change_and_back_off_after_failures() -> None:
-    schedule = Schedule(10_000.0, NOW_MS)
+    schedule = WriteSchedule(10_000.0, NOW_MS)
     assert schedule.due_ms() == math.inf
-    schedule.changed(False)
+    schedule.mark_changed(False)
     assert schedule.due_ms() == NOW_MS + 10_000.0
-    schedule.changed(True)
+    schedule.mark_changed(True)
     assert schedule.due_ms() == NOW_MS + 1000.0
-    waits = [schedule.failed(NOW_MS) for _ in range(12)]
+    waits = [schedule.write_failed(NOW_MS) for _ in range(12)]
     assert waits[:4] == [1000.0, 2000.0, 4000.0, 8000.0]
-    assert waits[-1] == MOST_BACK_OFF_MS
-    assert schedule.due_ms() == NOW_MS + MOST_BACK_OFF_MS
-    schedule.wrote(NOW_MS)
+    assert waits[-1] == MAX_BACKOFF_MS
+    assert schedule.due_ms() == NOW_MS + MAX_BACKOFF_MS
+    schedule.write_succeeded(NOW_MS)
     assert schedule.due_ms() == math.inf
 
 
 def test_which_changes_are_large() -> None:
     old = record()
-    assert large_change(None, old)
-    assert not large_change(old, msgspec.structs.replace(old, wait_ms=900.0, seen_ms=NOW_MS + 1))
+    assert is_large_change(None, old)
+    assert not is_large_change(old, msgspec.structs.replace(old, wait_ms=900.0, seen_ms=NOW_MS + 1))
     for changes in ({"silent": True}, {"started_ms": 5.0}, {"rate_per_s": 45.0}):
-        assert large_change(old, msgspec.structs.replace(old, **changes))
-    assert not large_change(record(rate_per_s=0.1), record(rate_per_s=0.9))
+        assert is_large_change(old, msgspec.structs.replace(old, **changes))
+    assert not is_large_change(record(rate_per_s=0.1), record(rate_per_s=0.9))
 
 
 def test_the_records_of_several_planners_are_merged() -> None:
     one = {"s0": record(), "s1": record("s1")}
     two = {"s0": record(rate_per_s=5.0, base_ms=6.0, threshold=None, seen_ms=NOW_MS + 1, wait_ms=7.0)}
-    both = merge([one, two])
+    both = merge_records([one, two])
     assert [r.uid for r in both] == ["s0", "s1"]
     assert (both[0].rate_per_s, both[0].base_ms, both[0].threshold, both[0].wait_ms) == (25.0, 6.0, 40.0, 7.0)
     restarted = {"s0": record(started_ms=NOW_MS, seen_ms=NOW_MS + 2)}
-    assert merge([one, restarted])[0].rate_per_s == 20.0  # the rate of the previous process is not added
+    assert (
+        merge_records([one, restarted])[0].rate_per_s == 20.0
+    )  # the rate of the previous process is not added
 
 
 # -- the module ---------------------------------------------------------------------------------------
@@ -321,7 +356,7 @@
     rig.feed(api.RestoredKnowledge(asked_per_s, (known,)))
     began_ms = rig.now_ms
     rig.list_of(listed("s0", 0, started_ms=began_ms))
-    module, terms = rig.controller, rig.controller.settings
+    module, settings = rig.controller, rig.controller.settings
     assert (module.best_rate, module.new_call_meter.value(rig.now_ms)) == (0.0, 0.0)
     sent: deque[float] = deque()
     for number, gap in enumerate(gaps):
@@ -329,15 +364,18 @@
         rig.call(number, expires_in_ms=9000.0)
         for action in [a for a in rig.all if isinstance(a, api.Send)]:
             sent.append(rig.now_ms)
-            while sent[0] <= rig.now_ms - terms.fall_ms:
+            while sent[0] <= rig.now_ms - settings.fall_ms:
                 sent.popleft()
-            part = terms.cold_from + (1 - terms.cold_from) * ((rig.now_ms - began_ms) / terms.ramp_ms) ** 2
+            part = (
+                settings.cold_from
+                + (1 - settings.cold_from) * ((rig.now_ms - began_ms) / settings.ramp_ms) ** 2
+            )
             seen = (
                 max(ASSUMED_SERVED_SHARE * module.new_call_meter.value(rig.now_ms), module.best_rate)
-                * terms.fall_ms
+                * settings.fall_ms
             )
-            fleet = max(terms.fall_multiple * part * seen * terms.gateway_count, ASSUMED_COLD_SET_UPS)
-            assert len(sent) <= 1.0 + fleet_limit(fleet) / terms.gateway_count
+            fleet = max(settings.fall_multiple * part * seen * settings.gateway_count, ASSUMED_COLD_SET_UPS)
+            assert len(sent) <= 1.0 + fleet_limit(fleet) / settings.gateway_count
             rig.succeed(action.call)
         rig.all.clear()
 
--- a/tests/test_memory_file.py
+++ b/tests/test_memory_file.py
@@ -15,11 +15,17 @@
 from hypothesis import seed as use_seed
 from hypothesis import settings as hypothesis_settings
 
-from capershelf.memory.disk import BusyError, Folder
+from capershelf.memory.disk import FolderLockedError, Folder
 from capershelf.memory.format import decode, encode
-from capershelf.memory.generations import FRAME_BYTES, NewerError, RefusedError, SpoiltError, frame
+from capershelf.memory.generations import (
+    FRAME_BYTES,
+    NewerFormatError,
+    RejectedFileError,
+    CorruptFileError,
+    frame,
+)
 from capershelf.memory.store import Store
-from tests.memory_rig import CutError, KillingFolder, PowerSupply, book, record
+from tests.memory_rig import PowerLossError, KillingFolder, CrashingDisk, checkpoint, record
 
 DATA = Path(__file__).parent / "data"
 KEY, OTHER_KEY = bytes(range(32)), bytes(32)
@@ -36,40 +42,40 @@
 def test_a_power_cut_at_any_step_leaves_the_whole_old_or_the_whole_new(
     steps: int, seed: int, sizes: list[int]
 ) -> None:
-    disk = PowerSupply(steps)
+    disk = CrashingDisk(steps)
     store = Store(disk, "p1", None)
     done = 0
     try:
         for generation, servers in enumerate(sizes, 1):
-            store.save(book(generation, servers))
+            store.save(checkpoint(generation, servers))
             done = generation
-    except CutError:
+    except PowerLossError:
         pass
     chance = random.Random(seed)
     for _ in range(3):  # and once more while it is read: what was read stays
-        disk = disk.come_back(chance)
+        disk = disk.after_power_loss(chance)
         found, _ = Store(disk, "p1", None).load()
         if found is None:
             assert done == 0
             continue
         assert done <= found.generation <= done + 1
-        assert found == book(found.generation, sizes[found.generation - 1])
+        assert found == checkpoint(found.generation, sizes[found.generation - 1])
         done = found.generation
 
 
 def test_the_power_supply_does_spoil_what_is_not_synced() -> None:
     """Guards the test above: without the sync the same cuts must be seen to do harm."""
 
-    class Hasty(PowerSupply):
+    class UnsyncedPowerSupply(CrashingDisk):
         def sync(self, name: str) -> None: ...
 
     harmed = 0
     for seed in range(50):
-        disk = Hasty(10_000)
+        disk = UnsyncedPowerSupply(10_000)
         store = Store(disk, "p1", None)
         for generation in (1, 2, 3):
-            store.save(book(generation, 12))
-        found, said = Store(disk.come_back(random.Random(seed)), "p1", None).load()
+            store.save(checkpoint(generation, 12))
+        found, said = Store(disk.after_power_loss(random.Random(seed)), "p1", None).load()
         harmed += found is None or bool(said)
     assert harmed > 25
 
@@ -77,7 +83,7 @@
 def test_a_writer_killed_at_any_point_leaves_the_whole_old_or_the_whole_new(tmp_path: Path) -> None:
     chance = random.Random(7)
     reader = Store(Folder(tmp_path), "p1", None)
-    reader.save(book(1))
+    reader.save(checkpoint(1))
     ends = set()
     for number in range(240):
         before = reader.load()[0]
@@ -88,7 +94,7 @@
             try:
                 store = Store(KillingFolder(tmp_path, step, random.Random(number)), "p1", None)
                 for more in (1, 2, 3):
-                    store.save(book(before.generation + more, chance.randrange(20)))
+                    store.save(checkpoint(before.generation + more, chance.randrange(20)))
             finally:
                 os._exit(0)
         _, status = os.waitpid(child, 0)
@@ -98,7 +104,7 @@
         assert not said
         # Whole writes are in force; the one that was cut is, or is not.
         assert after.generation - before.generation in {step // 4, step // 4 + 1}
-        assert after == book(after.generation, len(after.servers))
+        assert after == checkpoint(after.generation, len(after.servers))
         ends.add((step, after.generation - before.generation))
         chance = random.Random(number)
     assert len(ends) == 12
@@ -106,17 +112,17 @@
 
 @pytest.mark.parametrize("key", [None, KEY])
 def test_any_byte_flipped_and_any_cut_is_refused(key: bytes | None) -> None:
-    data = encode(book(3, 2), key)
-    assert decode(data, key) == book(3, 2)
+    data = encode(checkpoint(3, 2), key)
+    assert decode(data, key) == checkpoint(3, 2)
     for place in range(len(data)):
         for bit in (1, 128):
             spoilt = bytearray(data)
             spoilt[place] ^= bit
-            with pytest.raises((SpoiltError, RefusedError)):
+            with pytest.raises((CorruptFileError, RejectedFileError)):
                 decode(bytes(spoilt), key)
-        with pytest.raises(SpoiltError):
+        with pytest.raises(CorruptFileError):
             decode(data[:place], key)
-    with pytest.raises(SpoiltError):
+    with pytest.raises(CorruptFileError):
         decode(data + b"\0", key)
 
 
@@ -124,7 +130,7 @@
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=300, database=None)
 @given(body=st.binary(max_size=200), number=st.integers(0, 5))
 def test_whatever_lies_under_a_good_digest_is_a_book_or_a_plain_no(body: bytes, number: int) -> None:
-    with pytest.raises((SpoiltError, NewerError)):
+    with pytest.raises((CorruptFileError, NewerFormatError)):
         decode(frame(b"CAPSHMEM", number, body, None), None)
 
 
@@ -137,10 +143,10 @@
         {"threshold": -3.0},
     ]
     for changes in spoilt:
-        with pytest.raises(SpoiltError, match=r"servers\[0\]"):
-            decode(encode(book(servers=(record(**changes),)), None), None)
-    with pytest.raises(SpoiltError, match=r"servers\[1\].uid"):
-        decode(encode(book(servers=(record(), record())), None), None)
+        with pytest.raises(CorruptFileError, match=r"servers\[0\]"):
+            decode(encode(checkpoint(servers=(record(**changes),)), None), None)
+    with pytest.raises(CorruptFileError, match=r"servers\[1\].uid"):
+        decode(encode(checkpoint(servers=(record(), record())), None), None)
 
 
 def test_files_of_every_released_format_stay_readable() -> None:
@@ -148,25 +154,25 @@
     files = sorted(DATA.glob("memory-format-*.bin"))
     assert [file.name for file in files] == ["memory-format-1.bin"]
     for file in files:
-        assert decode(file.read_bytes(), None) == book(5, 2)
+        assert decode(file.read_bytes(), None) == checkpoint(5, 2)
 
 
 def test_a_key_keeps_files_from_elsewhere_out() -> None:
-    for key, data in ((KEY, encode(book(), None)), (None, encode(book(), KEY))):
-        with pytest.raises(RefusedError, match="key"):
+    for key, data in ((KEY, encode(checkpoint(), None)), (None, encode(checkpoint(), KEY))):
+        with pytest.raises(RejectedFileError, match="key"):
             decode(data, key)
-    with pytest.raises(SpoiltError, match="key"):
-        decode(encode(book(), OTHER_KEY), KEY)
+    with pytest.raises(CorruptFileError, match="key"):
+        decode(encode(checkpoint(), OTHER_KEY), KEY)
 
 
 def test_what_can_not_be_used_is_set_aside_and_the_generation_before_is_taken(tmp_path: Path) -> None:
     store = Store(Folder(tmp_path), "p1", None)
     for round_ in range(3):
-        store.save(book(4))
-        store.save(book(5))
+        store.save(checkpoint(4))
+        store.save(checkpoint(5))
         (tmp_path / "memory.1").write_bytes(b"CAPSHMEM" + bytes(100 + round_))
         found, said = store.load()
-        assert found == book(4)
+        assert found == checkpoint(4)
         assert len(said) == 1
         assert f"memory.1.spoilt-{round_}" in said[0]
     assert [len((tmp_path / f"memory.1.spoilt-{n}").read_bytes()) for n in range(3)] == [108, 109, 110]
@@ -179,10 +185,10 @@
 
 def test_a_newer_format_is_left_untouched(tmp_path: Path) -> None:
     store = Store(Folder(tmp_path), "p1", None)
-    store.save(book(4))
+    store.save(checkpoint(4))
     newer = frame(b"CAPSHMEM", 2, msgspec.msgpack.encode({"what": "later"}), None)
     (tmp_path / "memory.1").write_bytes(newer)
-    with pytest.raises(NewerError, match="format 2"):
+    with pytest.raises(NewerFormatError, match="format 2"):
         store.load()
     assert (tmp_path / "memory.1").read_bytes() == newer
     assert sorted(os.listdir(tmp_path)) == ["memory.0", "memory.1"]
@@ -194,18 +200,18 @@
             super().write(name, data[:FRAME_BYTES])
             raise OSError(28, "No space left on device")
 
-    Store(Folder(tmp_path), "p1", None).save(book(4))
-    Store(Folder(tmp_path), "p1", None).save(book(5))
+    Store(Folder(tmp_path), "p1", None).save(checkpoint(4))
+    Store(Folder(tmp_path), "p1", None).save(checkpoint(5))
     with pytest.raises(OSError, match="No space"):
-        Store(Full(tmp_path), "p1", None).save(book(6))
-    assert Store(Folder(tmp_path), "p1", None).load() == (book(5), [])
+        Store(Full(tmp_path), "p1", None).save(checkpoint(6))
+    assert Store(Folder(tmp_path), "p1", None).load() == (checkpoint(5), [])
     assert (tmp_path / "memory.new").exists()
 
 
 def test_one_process_holds_a_folder(tmp_path: Path) -> None:
     first, second = Folder(tmp_path), Folder(tmp_path)
     first.lock()
-    with pytest.raises(BusyError):
+    with pytest.raises(FolderLockedError):
         second.lock()
     first.unlock()
     second.lock()
--- a/tests/test_memory_running.py
+++ b/tests/test_memory_running.py
@@ -26,18 +26,18 @@
 from capershelf.core.clock import ManualClock, SystemClock
 from capershelf.memory.disk import Folder
 from capershelf.memory.keeper import Snapshot
-from capershelf.memory.memory import Memory, Who
+from capershelf.memory.memory import Memory, ProxyIdentity
 from capershelf.memory.store import Store
-from capershelf.memory.writer import End, Writer
+from capershelf.memory.writer import Shutdown, Writer
 from capershelf.net.connection import Connection
 from capershelf.net.framing import Lines
-from tests.memory_rig import book, record
+from tests.memory_rig import checkpoint, record
 from tests.peers import PATIENCE_S, BookingServer, until
 from tests.test_reload import BoardStandIn, Program, table
 
 
 # -- the writer ---------------------------------------------------------------------------------------
-class Moody(Folder):
+class ControllableFolder(Folder):
     """A folder whose writes fail or wait as the test says."""
 
     def __init__(self, path: Path) -> None:
@@ -58,7 +58,7 @@
     """A writer on a moody folder and a clock moved by hand."""
 
     def __init__(self, path: Path) -> None:
-        self.clock, self.disk = ManualClock(), Moody(path)
+        self.clock, self.disk = ManualClock(), ControllableFolder(path)
         store = Store(self.disk, "p1", None)
         self.writer = Writer(store, self.clock, 10_000.0, "0.2.0", "p1", 4, 0)
         threading.Thread(target=self.writer.run, daemon=True).start()
@@ -71,8 +71,10 @@
         return snapshot
 
     def rate(self) -> float | None:
-        found = Store(Folder(self.disk.path), "p1", None).look()
-        return next((one.book.servers[0].rate_per_s for one in found if one.book is not None), None)
+        found = Store(Folder(self.disk.path), "p1", None).inspect()
+        return next(
+            (one.checkpoint.servers[0].rate_per_s for one in found if one.checkpoint is not None), None
+        )
 
 
 def test_a_disk_that_fails_is_tried_again_and_the_newest_is_written(tmp_path: Path) -> None:
@@ -86,7 +88,7 @@
     written.clock.advance(10_000.0)
     until(lambda: written.rate() == 2.0)
     until(lambda: written.writer.failures == 0)
-    written.writer.inbox.put(End())
+    written.writer.inbox.put(Shutdown())
     assert written.writer.ended.wait(PATIENCE_S)
 
 
@@ -98,7 +100,7 @@
     written.disk.writing.get(timeout=PATIENCE_S)  # the writer now waits for its disk
     last = written.hand(3.0)
     assert not last.taken  # the planner's keeper sees that and hands over no more
-    written.writer.inbox.put(End())
+    written.writer.inbox.put(Shutdown())
     written.disk.free.set()
     assert written.writer.ended.wait(PATIENCE_S)
     assert written.rate() == 3.0
@@ -106,20 +108,20 @@
 
 def test_nothing_is_written_where_nothing_was_learned(tmp_path: Path) -> None:
     written = Written(tmp_path)
-    written.writer.inbox.put(End())
+    written.writer.inbox.put(Shutdown())
     assert written.writer.ended.wait(PATIENCE_S)
     assert os.listdir(tmp_path) == []
 
 
 # -- the door -----------------------------------------------------------------------------------------
-WHO = Who("p1", "0.2.0", 4, 2)
+WHO = ProxyIdentity("p1", "0.2.0", 4, 2)
 
 
 def test_a_folder_that_can_not_be_used_leaves_the_proxy_without_memory(tmp_path: Path) -> None:
     for folder in (tmp_path / "none", tmp_path / "file"):
         (tmp_path / "file").write_text("")
         memory = Memory(MemorySettings(str(folder)), WHO, SystemClock())
-        assert memory.keepers == [None, None]
+        assert memory.planner_memories == [None, None]
         memory.start()
         memory.close()
 
@@ -127,12 +129,12 @@
 def test_the_second_proxy_on_a_folder_serves_without_memory(tmp_path: Path) -> None:
     first = Memory(MemorySettings(str(tmp_path)), WHO, SystemClock())
     second = Memory(MemorySettings(str(tmp_path)), WHO, SystemClock())
-    assert all(first.keepers)
-    assert second.keepers == [None, None]
+    assert all(first.planner_memories)
+    assert second.planner_memories == [None, None]
     first.start()
     first.close()
     third = Memory(MemorySettings(str(tmp_path)), WHO, SystemClock())
-    assert all(third.keepers)
+    assert all(third.planner_memories)
     third.close()
 
 
@@ -191,8 +193,8 @@
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
     store = Store(Folder(tmp_path), "p1", None)
-    store.save(book(4, 2))
-    store.save(book(5, 2))
+    store.save(checkpoint(4, 2))
+    store.save(checkpoint(5, 2))
     return tmp_path
 
 
