--- a/capershelf/memory/__init__.py
+++ b/capershelf/memory/__init__.py
@@ -2,6 +2,6 @@
 
 Pure decisions: `trust` (which records are still valid), `ageing` (their weight), `schedule` (when to write).
 State and I/O: `records` and `format` (the bytes), `disk`, `generations` and `store` (atomic writes),
-`keeper` (on a planner's thread), `writer` (the only thread that accesses the disk).  A node uses
+`planner_memory` (on a planner's thread), `writer` (the only thread that accesses the disk).  A node uses
 `memory.Memory`.  Nothing here is imported unless the configuration has a [memory] table.
 """
--- a/capershelf/memory/disk.py
+++ b/capershelf/memory/disk.py
@@ -52,7 +52,7 @@
             fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as problem:
             os.close(held)
-            raise FolderLockedError(f"{self.path} is held by another process") from problem
+            raise FolderLockedError(f"{self.path} is locked by another process") from problem
         except OSError:
             os.close(held)
             raise
--- a/capershelf/memory/memory.py
+++ b/capershelf/memory/memory.py
@@ -14,7 +14,7 @@
 from capershelf.memory.disk import FolderLockedError, Folder
 from capershelf.memory.format import KEY_BYTES
 from capershelf.memory.generations import NewerFormatError
-from capershelf.memory.keeper import PlannerMemory, PlannerMemorySettings
+from capershelf.memory.planner_memory import PlannerMemory, PlannerMemorySettings
 from capershelf.memory.records import Checkpoint
 from capershelf.memory.store import Store
 from capershelf.memory.writer import Shutdown, Writer
--- a/capershelf/memory/keeper.py
+++ b/capershelf/memory/planner_memory.py
@@ -84,7 +84,7 @@
         self._asked_per_s = 0.0
         self._ending = False
 
-    # -- restoring --------------------------------------------------------------------------------------
+    # -- restoring ------------------------------------------------------------------------------------
     def recall(self, news: m.ServerListUpdate, now_ms: float) -> RestoredKnowledge | None:
         self._apply_list(news, now_ms)
         if self._checkpoint is None or not self._unmatched and not self._is_first_list:
@@ -100,7 +100,7 @@
             )
             if assessed.eligibility is Eligibility.UNPROVEN and aged is not None:
                 aged = latency_only(aged)
-            elif assessed.eligibility is not Eligibility.SAME:
+            elif assessed.eligibility is not Eligibility.SAME_PROCESS:
                 aged = None
             counts[assessed.eligibility] += 1
             if aged is not None:
--- a/capershelf/memory/trust.py
+++ b/capershelf/memory/trust.py
@@ -25,13 +25,13 @@
 class Eligibility(Enum):
     """Whether a stored record may be used, and if not, why."""
 
-    SAME = "the same process"
-    UNPROVEN = "nothing proves that it is the same process"
-    STARTED_SINCE = "it has started since"
-    MOVED = "it has another address"
-    SHARED = "another server has the same address"
-    LEAVING = "it is draining or gone"
-    IMPOSSIBLE = "its start is later than what was learned of it"
+    SAME_PROCESS = "the same process"
+    UNPROVEN = "no proof of the same process"
+    STARTED_SINCE = "restarted"
+    MOVED = "address changed"
+    SHARED = "address shared with another server"
+    LEAVING = "draining or removed"
+    IMPOSSIBLE = "started after the last update of its record"
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,12 +53,12 @@
         return Eligibility.SHARED
     now, then = listed.started_ms, record.started_ms
     if now is None and then is None:
-        return Eligibility.SAME if vouches and record.vouched else Eligibility.UNPROVEN
+        return Eligibility.SAME_PROCESS if vouches and record.vouched else Eligibility.UNPROVEN
     if now is None:
         return Eligibility.UNPROVEN  # a registry that lost the start time can't report the next start either
     if now != then:
         return Eligibility.STARTED_SINCE
-    return Eligibility.SAME if now <= record.seen_ms else Eligibility.IMPOSSIBLE
+    return Eligibility.SAME_PROCESS if now <= record.seen_ms else Eligibility.IMPOSSIBLE
 
 
 def assess_records(records: dict[str, ServerRecord], news: ServerListUpdate) -> list[AssessedRecord]:
--- a/capershelf/memory/writer.py
+++ b/capershelf/memory/writer.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from capershelf.core.clock import Clock, Inbox
-from capershelf.memory.keeper import Snapshot
+from capershelf.memory.planner_memory import Snapshot
 from capershelf.memory.records import Checkpoint
 from capershelf.memory.schedule import WriteSchedule, merge_records
 from capershelf.memory.store import Store
--- a/capershelf/node.py
+++ b/capershelf/node.py
@@ -142,8 +142,8 @@
             )
         self.memory = open_memory(config, self.clock)
         if self.memory is not None:
-            for planner, keeper in zip(self.planners, self.memory.planner_memories, strict=True):
-                planner.memory = keeper
+            for planner, planner_memory in zip(self.planners, self.memory.planner_memories, strict=True):
+                planner.memory = planner_memory
         self.fronts: list[Listener] = []
         self.houses: list[FrontContext] = []
         terms = SetUpLimits.from_settings(config.settings)
--- a/lab/memory_cost.py
+++ b/lab/memory_cost.py
@@ -13,7 +13,12 @@
 from capershelf.interface import LearnedServer, ListedServer, ServerStatus
 from capershelf.memory.ageing import HalfLives
 from capershelf.memory.disk import Folder
-from capershelf.memory.keeper import MAX_SERVERS_PER_COLLECT, PlannerMemory, Snapshot, PlannerMemorySettings
+from capershelf.memory.planner_memory import (
+    MAX_SERVERS_PER_COLLECT,
+    PlannerMemory,
+    Snapshot,
+    PlannerMemorySettings,
+)
 from capershelf.memory.records import Checkpoint
 from capershelf.memory.schedule import merge_records
 from capershelf.memory.store import Store
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -11,7 +11,7 @@
 from capershelf.control import Controller
 from capershelf.core import model as m
 from capershelf.memory.ageing import HalfLives
-from capershelf.memory.keeper import PlannerMemory, Snapshot, PlannerMemorySettings
+from capershelf.memory.planner_memory import PlannerMemory, Snapshot, PlannerMemorySettings
 from capershelf.memory.records import Checkpoint
 from capershelf.memory.schedule import merge_records
 from lab.engine import Engine
--- a/tests/memory_rig.py
+++ b/tests/memory_rig.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the memory's tests: a folder under a power supply that fails, books, a writing process."""
+"""Test doubles for the memory: a disk with power cuts, a folder that kills its process, sample records."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from capershelf.memory.disk import Folder
 from capershelf.memory.records import Checkpoint, ServerRecord
 
-SECTOR = 512
+SECTOR_BYTES = 512
 NOW_MS = 1_700_000_000_000.0
 
 
@@ -38,7 +38,7 @@
 
 
 def checkpoint(generation: int = 1, count: int = 3, **changes: Any) -> Checkpoint:
-    """A checkpoint that is told apart from others by its generation, in every record."""
+    """A checkpoint whose records all carry its generation as their rate."""
     known = Checkpoint(
         release="0.2.0",
         proxy="p1",
@@ -55,70 +55,75 @@
     uid: str = "s0",
     started_ms: float | None = NOW_MS - 1e6,
     endpoint: str = "",
-    standing: api.ServerStatus = api.ServerStatus.ACTIVE,
+    status: api.ServerStatus = api.ServerStatus.ACTIVE,
 ) -> m.LocatedServer:
-    return m.LocatedServer(api.ListedServer(uid, 0, standing, started_ms), endpoint or f"{uid}:1")
+    return m.LocatedServer(api.ListedServer(uid, 0, status, started_ms), endpoint or f"{uid}:1")
 
 
-def news(*servers: m.LocatedServer, whole: bool = True, vouches: bool = True) -> m.ServerListUpdate:
-    return m.ServerListUpdate(1, whole, servers, vouches)
+def news(
+    *servers: m.LocatedServer, complete: bool = True, reports_all_starts: bool = True
+) -> m.ServerListUpdate:
+    return m.ServerListUpdate(1, complete, servers, reports_all_starts)
 
 
 class PowerLossError(Exception):
-    """The power is gone."""
+    """Simulated power cut."""
 
 
-class File:
-    """What the disk holds for sure, and what was written since."""
+class FileState:
+    """The durable content of a file and the content written since."""
 
     def __init__(self) -> None:
-        self.kept = b""
+        self.durable = b""
         self.written = b""
 
 
 class CrashingDisk:
-    """A Disk that loses its power after so many steps; then every write not yet synced may be lost, torn at a
-    sector or kept, each for itself, and so may every change of a name, in any choice of them."""
+    """A Disk that loses power after a number of steps.
 
-    def __init__(self, steps: int) -> None:
-        self.steps = steps
-        self.kept: dict[str, File] = {}
-        self.now: dict[str, File] = {}
-        self.pending: list[Callable[[dict[str, File]], None]] = []
+    Each unsynced write may then be lost, torn at a sector or kept, independently of the others; any subset of
+    the unsynced creations and renames may be lost.
+    """
+
+    def __init__(self, steps_left: int) -> None:
+        self.steps_left = steps_left
+        self.durable: dict[str, FileState] = {}
+        self.visible: dict[str, FileState] = {}
+        self.pending: list[Callable[[dict[str, FileState]], None]] = []
 
     def _step(self) -> None:
-        if self.steps == 0:
+        if self.steps_left == 0:
             raise PowerLossError
-        self.steps -= 1
+        self.steps_left -= 1
 
     def names(self) -> list[str]:
-        return sorted(self.now)
+        return sorted(self.visible)
 
     def read(self, name: str, max_bytes: int) -> bytes:
-        return self.now[name].written[:max_bytes]
+        return self.visible[name].written[:max_bytes]
 
     def write(self, name: str, data: bytes) -> None:
-        file = File()
-        if name in self.now:
-            file = self.now[name]  # emptied in place, as O_TRUNC does
+        file = FileState()
+        if name in self.visible:
+            file = self.visible[name]  # emptied in place, as O_TRUNC does
             file.written = b""
         else:
-            self.now[name] = file
+            self.visible[name] = file
             self.pending.append(lambda names: names.__setitem__(name, file))
-        for begin in range(0, len(data), SECTOR):
+        for begin in range(0, len(data), SECTOR_BYTES):
             self._step()
-            file.written += data[begin : begin + SECTOR]
+            file.written += data[begin : begin + SECTOR_BYTES]
         self._step()
 
     def sync(self, name: str) -> None:
         self._step()
-        self.now[name].kept = self.now[name].written
+        self.visible[name].durable = self.visible[name].written
 
     def rename(self, old: str, new: str) -> None:
         self._step()
-        file = self.now[new] = self.now.pop(old)
+        file = self.visible[new] = self.visible.pop(old)
 
-        def move(names: dict[str, File]) -> None:
+        def move(names: dict[str, FileState]) -> None:
             names.pop(old, None)
             names[new] = file
 
@@ -127,38 +132,38 @@
     def sync_folder(self) -> None:
         self._step()
         for change in self.pending:
-            change(self.kept)
+            change(self.durable)
         self.pending.clear()
 
-    def after_power_loss(self, chance: random.Random) -> CrashingDisk:
-        """The folder as it may be found when the power is back."""
+    def after_power_loss(self, rng: random.Random) -> CrashingDisk:
+        """Return one possible state of the folder after the power cut."""
         for change in self.pending:
-            if chance.random() < 0.5:
-                change(self.kept)
-        back = CrashingDisk(10_000)
-        for name, file in self.kept.items():
-            found = File()
-            found.kept = found.written = self._torn(file, chance)
-            back.now[name] = back.kept[name] = found
-        return back
+            if rng.random() < 0.5:
+                change(self.durable)
+        restored = CrashingDisk(10_000)
+        for name, file in self.durable.items():
+            found = FileState()
+            found.durable = found.written = self._torn(file, rng)
+            restored.visible[name] = restored.durable[name] = found
+        return restored
 
     @staticmethod
-    def _torn(file: File, chance: random.Random) -> bytes:
-        size = chance.choice([len(file.kept), len(file.written)])
+    def _torn(file: FileState, rng: random.Random) -> bytes:
+        size = rng.choice([len(file.durable), len(file.written)])
         sectors = []
-        for begin in range(0, size, SECTOR):
-            end = min(size, begin + SECTOR)
-            sector = chance.choice([file.kept, file.written])[begin:end]
+        for begin in range(0, size, SECTOR_BYTES):
+            end = min(size, begin + SECTOR_BYTES)
+            sector = rng.choice([file.durable, file.written])[begin:end]
             sectors.append(sector + bytes(end - begin - len(sector)))
         return b"".join(sectors)
 
 
 class KillingFolder(Folder):
-    """A real folder that kills its own process at a step, and in the middle of a write."""
+    """A real folder that kills its own process at a given step; a write is cut in the middle."""
 
-    def __init__(self, path: Path, step: int, chance: random.Random) -> None:
+    def __init__(self, path: Path, step: int, rng: random.Random) -> None:
         super().__init__(path)
-        self.step, self.chance = step, chance
+        self.step, self.rng = step, rng
 
     def _count(self) -> None:
         self.step -= 1
@@ -167,7 +172,7 @@
 
     def write(self, name: str, data: bytes) -> None:
         if self.step == 0:
-            super().write(name, data[: self.chance.randrange(len(data))])
+            super().write(name, data[: self.rng.randrange(len(data))])
         self._count()
         super().write(name, data)
 
--- a/tests/test_memory_decisions.py
+++ b/tests/test_memory_decisions.py
@@ -24,7 +24,7 @@
     latency_only,
     weight,
 )
-from capershelf.memory.keeper import (
+from capershelf.memory.planner_memory import (
     MAX_SERVERS_PER_COLLECT,
     MIN_SNAPSHOT_INTERVAL_MS,
     PlannerMemory,
@@ -41,15 +41,13 @@
 
 HALF_LIVES = HalfLives()
 HOUR_MS, DAY_MS = 3_600_000.0, 86_400_000.0
-MOST_AGE_MS = 7 * DAY_MS
+MAX_AGE_MS = 7 * DAY_MS
 REMOVED, DRAINING = api.ServerStatus.REMOVED, api.ServerStatus.DRAINING
 
 
 # -- ageing -------------------------------------------------------------------------------------------
 def aged(age_ms: float, part: float = 1.0, **changes: Any) -> api.LearnedServer | None:
-    return age_server(
-        record(**changes), CheckpointAge(NOW_MS, NOW_MS + age_ms), HALF_LIVES, MOST_AGE_MS, part
-    )
+    return age_server(record(**changes), CheckpointAge(NOW_MS, NOW_MS + age_ms), HALF_LIVES, MAX_AGE_MS, part)
 
 
 def test_each_kind_of_knowledge_has_its_own_half_life() -> None:
@@ -65,7 +63,7 @@
     assert later.wait_ms == pytest.approx(0.0)
     assert later.threshold is None
     assert later.base_latency_ms == pytest.approx(8.0, rel=0.06)
-    assert aged(MOST_AGE_MS + 1.0) is None
+    assert aged(MAX_AGE_MS + 1.0) is None
 
 
 def test_ejection_is_remembered_for_one_half_life() -> None:
@@ -114,11 +112,11 @@
     assert aged(0.0, 0.1) == replace(known, rate_per_s=2.0, threshold=MIN_THRESHOLD)
     checkpoint_age = CheckpointAge(NOW_MS + 1, NOW_MS + 1)
     assert (
-        age_new_call_rate(checkpoint(1, asked_per_s=60.0), checkpoint_age, HALF_LIVES, MOST_AGE_MS, 2) == 30.0
+        age_new_call_rate(checkpoint(1, asked_per_s=60.0), checkpoint_age, HALF_LIVES, MAX_AGE_MS, 2) == 30.0
     )
     assert (
         age_new_call_rate(
-            checkpoint(1), CheckpointAge(NOW_MS, NOW_MS + 8 * DAY_MS), HALF_LIVES, MOST_AGE_MS, 1
+            checkpoint(1), CheckpointAge(NOW_MS, NOW_MS + 8 * DAY_MS), HALF_LIVES, MAX_AGE_MS, 1
         )
         == 0.0
     )
@@ -131,19 +129,19 @@
 
 
 # -- trust --------------------------------------------------------------------------------------------
-def eligibility(known: ServerRecord, *servers: object, vouches: bool = True) -> list[Eligibility]:
-    told = news(*servers, vouches=vouches)  # type: ignore[arg-type]
-    return [one.eligibility for one in assess_records({known.uid: known}, told)]
+def eligibility(known: ServerRecord, *servers: object, reports_all_starts: bool = True) -> list[Eligibility]:
+    update = news(*servers, reports_all_starts=reports_all_starts)  # type: ignore[arg-type]
+    return [one.eligibility for one in assess_records({known.uid: known}, update)]
 
 
 def test_evidence_that_a_server_is_the_same_process() -> None:
     late = NOW_MS - 1e6
-    assert eligibility(record(), located()) == [Eligibility.SAME]
+    assert eligibility(record(), located()) == [Eligibility.SAME_PROCESS]
     assert eligibility(record(), located(started_ms=late + 1)) == [Eligibility.STARTED_SINCE]
     assert eligibility(record(started_ms=None), located()) == [Eligibility.STARTED_SINCE]
     assert eligibility(record(), located(started_ms=None)) == [Eligibility.UNPROVEN]
-    assert eligibility(record(started_ms=None), located(started_ms=None)) == [Eligibility.SAME]
-    assert eligibility(record(started_ms=None), located(started_ms=None), vouches=False) == [
+    assert eligibility(record(started_ms=None), located(started_ms=None)) == [Eligibility.SAME_PROCESS]
+    assert eligibility(record(started_ms=None), located(started_ms=None), reports_all_starts=False) == [
         Eligibility.UNPROVEN
     ]
     assert eligibility(record(started_ms=None, vouched=False), located(started_ms=None)) == [
@@ -151,11 +149,11 @@
     ]
     assert eligibility(record(), located(endpoint="s9:1")) == [Eligibility.MOVED]
     assert eligibility(record(), located(), located("s9", endpoint="s0:1")) == [Eligibility.SHARED]
-    assert eligibility(record(), located(), located("s9", endpoint="s0:1", standing=REMOVED)) == [
-        Eligibility.SAME
+    assert eligibility(record(), located(), located("s9", endpoint="s0:1", status=REMOVED)) == [
+        Eligibility.SAME_PROCESS
     ]
     assert eligibility(record(), located("s9", endpoint="s0:1")) == []  # a successor at its address
-    assert eligibility(record(), located(standing=DRAINING)) == [Eligibility.LEAVING]
+    assert eligibility(record(), located(status=DRAINING)) == [Eligibility.LEAVING]
     assert eligibility(record(seen_ms=late - 1), located()) == [Eligibility.IMPOSSIBLE]
 
 
@@ -165,7 +163,7 @@
     assert latency_only(known) == api.LearnedServer("s0", base_latency_ms=8.0)
 
 
-# -- the keeper ---------------------------------------------------------------------------------------
+# -- a planner's memory -------------------------------------------------------------------------------
 class FakeLearnedSource:
     """Stands in for a controller's learned state."""
 
@@ -179,40 +177,40 @@
         return 0.05
 
 
-class KeeperRig:
-    """A keeper and the snapshots that it hands over."""
+class PlannerMemoryRig:
+    """A planner's memory and the snapshots that it publishes."""
 
     def __init__(self, known: Checkpoint | None = None, planners: int = 1, senders: int = 4) -> None:
-        self.handed: list[Snapshot] = []
+        self.published: list[Snapshot] = []
         self.source = FakeLearnedSource()
-        self.keeper = PlannerMemory(
-            PlannerMemorySettings(0, planners, senders, HALF_LIVES, MOST_AGE_MS), known, self.handed.append
+        self.memory = PlannerMemory(
+            PlannerMemorySettings(0, planners, senders, HALF_LIVES, MAX_AGE_MS), known, self.published.append
         )
 
     def learn(self, uid: str, now_ms: float, **changes: object) -> None:
         self.source.known[uid] = replace(api.LearnedServer(uid, 20.0, 5.0, 8.0), **changes)  # type: ignore[arg-type]
-        self.keeper.mark_changed(uid)
-        self.keeper.collect(self.source, now_ms, False)
+        self.memory.mark_changed(uid)
+        self.memory.collect(self.source, now_ms, False)
 
 
-def test_the_keeper_restores_each_server_once_and_the_call_rate_at_the_start() -> None:
-    kept = KeeperRig(checkpoint(60, 2))
-    first = kept.keeper.recall(news(located("s0")), NOW_MS + 60)
+def test_each_planner_restores_each_server_once_and_the_call_rate_at_the_start() -> None:
+    rig = PlannerMemoryRig(checkpoint(60, 2))
+    first = rig.memory.recall(news(located("s0")), NOW_MS + 60)
     assert first is not None
     assert first.new_calls_per_s == 60.0
     assert [one.server for one in first.servers] == ["s0"]
     assert first.servers[0].rate_per_s == pytest.approx(60.0)
-    later = kept.keeper.recall(news(located("s1"), whole=False), NOW_MS + 60 + RATE_FADE_MS)
+    later = rig.memory.recall(news(located("s1"), complete=False), NOW_MS + 60 + RATE_FADE_MS)
     assert later is not None
     # Decayed as far as in the module, which uses the newest value it is given.
     assert later.new_calls_per_s == pytest.approx(60.0 / math.e)
     assert [one.server for one in later.servers] == ["s1"]
-    assert kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS + 60) is None
+    assert rig.memory.recall(news(located("s0"), located("s1")), NOW_MS + 60) is None
 
 
 def test_unproven_and_changed_servers_start_without_a_rate() -> None:
-    kept = KeeperRig(checkpoint(60, 3))
-    found = kept.keeper.recall(
+    rig = PlannerMemoryRig(checkpoint(60, 3))
+    found = rig.memory.recall(
         news(located("s0", started_ms=None), located("s1", started_ms=NOW_MS), located("s2")), NOW_MS + 60
     )
     assert found is not None
@@ -223,74 +221,76 @@
 
 def test_knowledge_of_a_server_that_drains_leaves_or_restarts_is_dropped() -> None:
     for change in (
-        located("s0", standing=DRAINING),
-        located("s0", standing=REMOVED),
+        located("s0", status=DRAINING),
+        located("s0", status=REMOVED),
         located("s0", started_ms=NOW_MS + 5),
         located("s0", endpoint="elsewhere:1"),
     ):
-        kept = KeeperRig(checkpoint(1, 1))
-        kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS)
-        kept.learn("s0", NOW_MS)
-        assert "s0" in kept.keeper.servers
-        kept.keeper.recall(news(change, whole=False), NOW_MS)
-        assert "s0" not in kept.keeper.servers
-    kept.keeper.recall(news(located("s1")), NOW_MS)
-    kept.learn("s0", NOW_MS)
-    assert "s0" not in kept.keeper.servers
-    back = KeeperRig(checkpoint(1, 1))  # a server that drains at the start loses its knowledge too
-    back.keeper.recall(news(located("s0", standing=DRAINING)), NOW_MS)
-    assert back.keeper.recall(news(located("s0")), NOW_MS) is None
+        rig = PlannerMemoryRig(checkpoint(1, 1))
+        rig.memory.recall(news(located("s0"), located("s1")), NOW_MS)
+        rig.learn("s0", NOW_MS)
+        assert "s0" in rig.memory.servers
+        rig.memory.recall(news(change, complete=False), NOW_MS)
+        assert "s0" not in rig.memory.servers
+    rig.memory.recall(news(located("s1")), NOW_MS)
+    rig.learn("s0", NOW_MS)
+    assert "s0" not in rig.memory.servers
+    restarted = PlannerMemoryRig(
+        checkpoint(1, 1)
+    )  # a server that drains at the start loses its knowledge too
+    restarted.memory.recall(news(located("s0", status=DRAINING)), NOW_MS)
+    assert restarted.memory.recall(news(located("s0")), NOW_MS) is None
 
 
 def test_a_snapshot_does_not_change_and_only_one_is_pending() -> None:
-    kept = KeeperRig()
-    kept.keeper.recall(news(located("s0"), located("s1")), NOW_MS)
-    kept.learn("s0", NOW_MS)
-    kept.learn("s0", NOW_MS + 2 * MIN_SNAPSHOT_INTERVAL_MS, rate_per_s=90.0)
-    assert len(kept.handed) == 1  # the first is still pending
-    kept.handed[0].taken = True
-    kept.learn("s1", NOW_MS + 4 * MIN_SNAPSHOT_INTERVAL_MS)
-    assert len(kept.handed) == 2
-    assert [len(one.servers) for one in kept.handed] == [1, 2]
-    assert kept.handed[0].servers["s0"].rate_per_s == 20.0
-    assert kept.handed[1].servers["s0"].rate_per_s == 90.0
-    kept.learn("s1", NOW_MS + 5 * MIN_SNAPSHOT_INTERVAL_MS, ejected=True)
-    assert len(kept.handed) == 2
-    kept.keeper.collect(kept.source, NOW_MS + 5 * MIN_SNAPSHOT_INTERVAL_MS, True)
-    assert kept.handed[2].servers["s1"].silent
-
-
-def test_a_sweep_collects_a_bounded_number_and_the_last_one_all() -> None:
-    kept = KeeperRig()
+    rig = PlannerMemoryRig()
+    rig.memory.recall(news(located("s0"), located("s1")), NOW_MS)
+    rig.learn("s0", NOW_MS)
+    rig.learn("s0", NOW_MS + 2 * MIN_SNAPSHOT_INTERVAL_MS, rate_per_s=90.0)
+    assert len(rig.published) == 1  # the first is still pending
+    rig.published[0].taken = True
+    rig.learn("s1", NOW_MS + 4 * MIN_SNAPSHOT_INTERVAL_MS)
+    assert len(rig.published) == 2
+    assert [len(one.servers) for one in rig.published] == [1, 2]
+    assert rig.published[0].servers["s0"].rate_per_s == 20.0
+    assert rig.published[1].servers["s0"].rate_per_s == 90.0
+    rig.learn("s1", NOW_MS + 5 * MIN_SNAPSHOT_INTERVAL_MS, ejected=True)
+    assert len(rig.published) == 2
+    rig.memory.collect(rig.source, NOW_MS + 5 * MIN_SNAPSHOT_INTERVAL_MS, True)
+    assert rig.published[2].servers["s1"].silent
+
+
+def test_a_step_collects_a_bounded_number_and_the_last_one_all() -> None:
+    rig = PlannerMemoryRig()
     uids = [f"s{n}" for n in range(5 * MAX_SERVERS_PER_COLLECT)]
-    kept.keeper.recall(news(*(located(uid) for uid in uids)), NOW_MS)
+    rig.memory.recall(news(*(located(uid) for uid in uids)), NOW_MS)
     for uid in uids:
-        kept.source.known[uid] = api.LearnedServer(uid)
-        kept.keeper.mark_changed(uid)
-    kept.keeper.collect(kept.source, NOW_MS, False)
-    assert len(kept.keeper.servers) == MAX_SERVERS_PER_COLLECT
-    kept.keeper.collect(kept.source, NOW_MS, True)
-    assert len(kept.keeper.servers) == len(uids)
+        rig.source.known[uid] = api.LearnedServer(uid)
+        rig.memory.mark_changed(uid)
+    rig.memory.collect(rig.source, NOW_MS, False)
+    assert len(rig.memory.servers) == MAX_SERVERS_PER_COLLECT
+    rig.memory.collect(rig.source, NOW_MS, True)
+    assert len(rig.memory.servers) == len(uids)
 
 
 def test_the_best_rate_is_kept_through_a_quiet_hour_and_decays() -> None:
-    kept = KeeperRig()
-    kept.keeper.recall(news(located("s0")), NOW_MS)
-    kept.learn("s0", NOW_MS, rate_per_s=50.0)
-    kept.learn("s0", NOW_MS + HOUR_MS, rate_per_s=1.0)
-    known = kept.keeper.servers["s0"]
+    rig = PlannerMemoryRig()
+    rig.memory.recall(news(located("s0")), NOW_MS)
+    rig.learn("s0", NOW_MS, rate_per_s=50.0)
+    rig.learn("s0", NOW_MS + HOUR_MS, rate_per_s=1.0)
+    known = rig.memory.servers["s0"]
     assert (known.rate_per_s, known.rate_ms) == (50.0, NOW_MS)
-    kept.learn("s0", NOW_MS + 12 * HOUR_MS, rate_per_s=26.0)
-    assert kept.keeper.servers["s0"].rate_per_s == 26.0
+    rig.learn("s0", NOW_MS + 12 * HOUR_MS, rate_per_s=26.0)
+    assert rig.memory.servers["s0"].rate_per_s == 26.0
 
 
 def test_knowledge_carried_over_two_restarts_keeps_its_age() -> None:
-    kept = KeeperRig(checkpoint(1, 1, asked_per_s=0.0, saved_ms=NOW_MS))
-    kept.keeper.recall(news(located("s0")), NOW_MS + HOUR_MS)
-    kept.keeper.collect(kept.source, NOW_MS + HOUR_MS, True)
-    assert kept.handed[0].servers["s0"].seen_ms == NOW_MS
+    rig = PlannerMemoryRig(checkpoint(1, 1, asked_per_s=0.0, saved_ms=NOW_MS))
+    rig.memory.recall(news(located("s0")), NOW_MS + HOUR_MS)
+    rig.memory.collect(rig.source, NOW_MS + HOUR_MS, True)
+    assert rig.published[0].servers["s0"].seen_ms == NOW_MS
     # The wait has decayed and must not return to its stored value.
-    assert kept.handed[0].servers["s0"].wait_ms == pytest.approx(0.0)
+    assert rig.published[0].servers["s0"].wait_ms == pytest.approx(0.0)
 
 
 # -- writing ------------------------------------------------------------------------------------------
--- a/tests/test_memory_running.py
+++ b/tests/test_memory_running.py
@@ -1,4 +1,4 @@
-"""The writer on disks that fail, the door to a node, the commands, and `serve` restarted under load."""
+"""The writer with failing disks, opening the memory, the commands, and `serve` restarted under load."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from capershelf.config import MemorySettings
 from capershelf.core.clock import ManualClock, SystemClock
 from capershelf.memory.disk import Folder
-from capershelf.memory.keeper import Snapshot
+from capershelf.memory.planner_memory import Snapshot
 from capershelf.memory.memory import Memory, ProxyIdentity
 from capershelf.memory.store import Store
 from capershelf.memory.writer import Shutdown, Writer
@@ -38,7 +38,7 @@
 
 # -- the writer ---------------------------------------------------------------------------------------
 class ControllableFolder(Folder):
-    """A folder whose writes fail or wait as the test says."""
+    """A folder whose writes the test can fail or block."""
 
     def __init__(self, path: Path) -> None:
         super().__init__(path)
@@ -54,8 +54,8 @@
         super().write(name, data)
 
 
-class Written:
-    """A writer on a moody folder and a clock moved by hand."""
+class WriterRig:
+    """A writer with a ControllableFolder and a manual clock."""
 
     def __init__(self, path: Path) -> None:
         self.clock, self.disk = ManualClock(), ControllableFolder(path)
@@ -63,7 +63,7 @@
         self.writer = Writer(store, self.clock, 10_000.0, "0.2.0", "p1", 4, 0)
         threading.Thread(target=self.writer.run, daemon=True).start()
 
-    def hand(self, rate: float, large: bool = False) -> Snapshot:
+    def publish(self, rate: float, large: bool = False) -> Snapshot:
         from immutables import Map
 
         snapshot = Snapshot(0, Map({"s0": record(rate_per_s=rate)}), rate, self.clock.now_ms(), large)
@@ -77,47 +77,47 @@
         )
 
 
-def test_a_disk_that_fails_is_tried_again_and_the_newest_is_written(tmp_path: Path) -> None:
-    written = Written(tmp_path)
-    written.disk.failing = True
-    written.hand(1.0)
-    written.clock.advance(10_000.0)
-    until(lambda: written.writer.failures == 1)
-    written.hand(2.0)
-    written.disk.failing = False
-    written.clock.advance(10_000.0)
-    until(lambda: written.rate() == 2.0)
-    until(lambda: written.writer.failures == 0)
-    written.writer.inbox.put(Shutdown())
-    assert written.writer.ended.wait(PATIENCE_S)
-
-
-def test_a_slow_disk_holds_up_neither_planner_nor_end(tmp_path: Path) -> None:
-    written = Written(tmp_path)
-    written.disk.free.clear()
-    written.hand(1.0, large=True)
-    written.clock.advance(1000.0)
-    written.disk.writing.get(timeout=PATIENCE_S)  # the writer now waits for its disk
-    last = written.hand(3.0)
-    assert not last.taken  # the planner's keeper sees that and hands over no more
-    written.writer.inbox.put(Shutdown())
-    written.disk.free.set()
-    assert written.writer.ended.wait(PATIENCE_S)
-    assert written.rate() == 3.0
-
-
-def test_nothing_is_written_where_nothing_was_learned(tmp_path: Path) -> None:
-    written = Written(tmp_path)
-    written.writer.inbox.put(Shutdown())
-    assert written.writer.ended.wait(PATIENCE_S)
+def test_a_failed_write_is_retried_with_the_newest_snapshot(tmp_path: Path) -> None:
+    rig = WriterRig(tmp_path)
+    rig.disk.failing = True
+    rig.publish(1.0)
+    rig.clock.advance(10_000.0)
+    until(lambda: rig.writer.failures == 1)
+    rig.publish(2.0)
+    rig.disk.failing = False
+    rig.clock.advance(10_000.0)
+    until(lambda: rig.rate() == 2.0)
+    until(lambda: rig.writer.failures == 0)
+    rig.writer.inbox.put(Shutdown())
+    assert rig.writer.ended.wait(PATIENCE_S)
+
+
+def test_a_slow_disk_blocks_neither_planner_nor_shutdown(tmp_path: Path) -> None:
+    rig = WriterRig(tmp_path)
+    rig.disk.free.clear()
+    rig.publish(1.0, large=True)
+    rig.clock.advance(1000.0)
+    rig.disk.writing.get(timeout=PATIENCE_S)  # the writer is blocked by its disk
+    last = rig.publish(3.0)
+    assert not last.taken  # so the planner publishes no further snapshot
+    rig.writer.inbox.put(Shutdown())
+    rig.disk.free.set()
+    assert rig.writer.ended.wait(PATIENCE_S)
+    assert rig.rate() == 3.0
+
+
+def test_nothing_is_written_without_a_snapshot(tmp_path: Path) -> None:
+    rig = WriterRig(tmp_path)
+    rig.writer.inbox.put(Shutdown())
+    assert rig.writer.ended.wait(PATIENCE_S)
     assert os.listdir(tmp_path) == []
 
 
-# -- the door -----------------------------------------------------------------------------------------
+# -- opening the memory -------------------------------------------------------------------------------
 WHO = ProxyIdentity("p1", "0.2.0", 4, 2)
 
 
-def test_a_folder_that_can_not_be_used_leaves_the_proxy_without_memory(tmp_path: Path) -> None:
+def test_an_unusable_folder_leaves_the_proxy_without_memory(tmp_path: Path) -> None:
     for folder in (tmp_path / "none", tmp_path / "file"):
         (tmp_path / "file").write_text("")
         memory = Memory(MemorySettings(str(folder)), WHO, SystemClock())
@@ -147,7 +147,7 @@
         (None, 0o600, "No such file"),
     ],
 )
-def test_a_key_file_that_is_no_key_is_named(tmp_path: Path, data: bytes | None, mode: int, said: str) -> None:
+def test_an_invalid_key_file_is_reported(tmp_path: Path, data: bytes | None, mode: int, said: str) -> None:
     path = tmp_path / "key"
     if data is not None:
         path.write_bytes(data)
@@ -167,20 +167,20 @@
         ({"folder": "x", "rate-half-life": -1}, "rate-half-life"),
     ],
 )
-def test_a_memory_table_that_makes_no_sense_is_named(changes: dict[str, Any], said: str) -> None:
+def test_an_invalid_memory_table_is_reported(changes: dict[str, Any], said: str) -> None:
     with pytest.raises(ValueError, match=said):
         configuration.read(table("") | {"memory": changes}, {})
 
 
 def test_memory_and_stream_do_not_share_a_folder() -> None:
-    """They would lock each other out, and the proxy start without what it had kept."""
+    """Each would find the folder locked by the other, and the proxy would start without stored data."""
     both = {"memory": {"folder": "x"}, "stream": {"services": ["127.0.0.1:1"], "folder": "./x"}}
     with pytest.raises(ValueError, match="must be two"):
         configuration.read(table("") | both, {})
 
 
-def test_off_it_costs_no_import() -> None:
-    """Neither `serve` nor the command line loads what belongs to the memory."""
+def test_a_disabled_memory_imports_nothing() -> None:
+    """Without a [memory] table neither `serve` nor the command line imports the memory's modules."""
     code = (
         "import sys, capershelf.cli; print([n for n in sys.modules if n.split('.')[0] in "
         "('msgspec', 'blake3', 'immutables', 'rich', 'numpy') or 'memory' in n or 'commands' in n])"
@@ -239,8 +239,8 @@
 
 
 # -- serve to serve -----------------------------------------------------------------------------------
-class Answering(BookingServer):
-    """A booking server that answers every set-up on the connection that came last, and counts them."""
+class AnsweringServer(BookingServer):
+    """A booking server that answers every set-up on its newest connection and counts them per call."""
 
     def __init__(self) -> None:
         super().__init__(False)
@@ -261,7 +261,7 @@
 
 
 class Load:
-    """Callers on connections of their own, at an even pace, until told to stop."""
+    """Callers with one connection each, at a constant rate, until end()."""
 
     def __init__(self, port: int) -> None:
         self.port, self.over = port, threading.Event()
@@ -272,12 +272,12 @@
         self.thread.start()
 
     def _run(self) -> None:
-        chance, pause = random.Random(11), threading.Event()
+        rng, pause = random.Random(11), threading.Event()
         while not self.over.is_set():
             pause.wait(0.01)
-            self._dial(f"{chance.getrandbits(64):016x}")
+            self._place_call(f"{rng.getrandbits(64):016x}")
 
-    def _dial(self, call: str) -> None:
+    def _place_call(self, call: str) -> None:
         clock, heard = SystemClock(), threading.Event()
         self.outcomes[call] = []
 
@@ -290,7 +290,7 @@
         try:
             sock = socket.create_connection(("127.0.0.1", self.port))
         except OSError:
-            return  # nobody listens between the two: not taken
+            return  # no proxy listens during the restart: the call was never accepted
         connection = Connection(
             sock,
             Lines(),
@@ -309,10 +309,10 @@
         )
         self.taken.add(call)
         self.open.put((connection, heard))
-        if len(self.taken) > 50:  # a front has places for so many
-            self._hang_up()
+        if len(self.taken) > 50:  # limit of open connections of a front
+            self._close_oldest()
 
-    def _hang_up(self) -> None:
+    def _close_oldest(self) -> None:
         connection, heard = self.open.get()
         assert heard.wait(PATIENCE_S)
         connection.close()
@@ -321,12 +321,15 @@
         self.over.set()
         self.thread.join()
         while not self.open.empty():
-            self._hang_up()
+            self._close_oldest()
 
 
 def free_port() -> int:
-    """Below the range that the system gives to callers: one that dials while nobody listens could else be
-    given this very port, be connected to itself, and keep the next proxy from listening."""
+    """Return a free port below the ephemeral range.
+
+    A caller that connects while no proxy listens could otherwise be given this port as its own, connect to
+    itself, and keep the next proxy from listening.
+    """
     for port in range(21_000, 29_000, 7):
         try:
             socket.create_server(("127.0.0.1", port)).close()
@@ -348,7 +351,7 @@
 def test_serve_to_serve_under_load_every_call_has_one_outcome_and_the_knowledge_is_in_force(
     tmp_path: Path, programs: list[Program]
 ) -> None:
-    servers, port, folder = [Answering(), Answering()], free_port(), tmp_path / "memory"
+    servers, port, folder = [AnsweringServer(), AnsweringServer()], free_port(), tmp_path / "memory"
     folder.mkdir()
     board = BoardStandIn()
     path = tmp_path / "config.json"
@@ -393,7 +396,7 @@
     answered = [call for call in load.taken if load.outcomes[call] == ["answer"]]
     assert len(answered) > 100
     assert all(1 <= sum(one.calls[call] for one in servers) <= 6 for call in answered)
-    # Killed outright, then one server started since: only the other starts from what was known.
+    # Killed, then one server restarted: only the other is restored.
     second.process.kill()
     second.process.wait()
     third = start((1_700_000_000_000.0, time.time() * 1000.0))
@@ -402,7 +405,7 @@
     load = Load(port)
     while sum(servers[0].calls.values()) < before[0] + 40:
         time.sleep(0.005)
-    # Half of the calls are for the cold one first; it is sent what a cold one may be, not what it did before.
-    assert sum(servers[1].calls.values()) - before[1] < 30  # about 40 if it were taken for warm
+    # Half of the calls prefer the cold server; it gets the cold budget, not its former rate.
+    assert sum(servers[1].calls.values()) - before[1] < 30  # about 40 if it were treated as warm
     load.end()
     assert {len(load.outcomes[call]) for call in load.taken} == {1}
--- a/tests/test_stream_running.py
+++ b/tests/test_stream_running.py
@@ -37,7 +37,7 @@
 from capershelf.stream.signing import Key, KeyRing, sign
 from capershelf.stream.stream import Stream
 from tests.peers import OPERATOR, PATIENCE_S, until
-from tests.test_memory_running import Answering, Load, free_port
+from tests.test_memory_running import AnsweringServer, Load, free_port
 from tests.test_reload import BoardStandIn
 from tests.test_stream_decisions import OWN, changed
 
@@ -147,7 +147,7 @@
     tmp_path: Path, ends: list[Any]
 ) -> None:
     """Good, bad and truncated versions, a service that vanishes in the middle, and SIGHUP's reload."""
-    servers, port = [Answering(), Answering()], free_port()
+    servers, port = [AnsweringServer(), AnsweringServer()], free_port()
     targets = [
         {"uid": f"s{n}", "endpoint": one.endpoint, "pod_group": n, "state": "up", "boot_ms": 0}
         for n, one in enumerate(servers)
