--- a/capershelf/memory/disk.py
+++ b/capershelf/memory/disk.py
@@ -18,7 +18,8 @@
 class Disk(Protocol):
     """Operations on one folder; each may raise OSError."""
 
-    def names(self) -> list[str]: ...
+    def names(self) -> list[str]:
+        """Return the names of all files."""
 
     def read(self, name: str, max_bytes: int) -> bytes:
         """Return at most the first `max_bytes` bytes."""
@@ -26,12 +27,14 @@
     def write(self, name: str, data: bytes) -> None:
         """Create or truncate the file, then write; nothing is durable before sync()."""
 
-    def sync(self, name: str) -> None: ...
+    def sync(self, name: str) -> None:
+        """Make the content of the file durable."""
 
     def rename(self, old: str, new: str) -> None:
         """Replace `new` atomically."""
 
-    def sync_folder(self) -> None: ...
+    def sync_folder(self) -> None:
+        """Make creations, renames and removals durable."""
 
 
 class FolderLockedError(OSError):
@@ -47,16 +50,16 @@
 
     def lock(self) -> None:
         """Lock the folder until unlock() or the end of the process; FolderLockedError if it is locked."""
-        held = os.open(self.path / "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+        descriptor = os.open(self.path / "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as problem:
-            os.close(held)
+            os.close(descriptor)
             raise FolderLockedError(f"{self.path} is locked by another process") from problem
         except OSError:
-            os.close(held)
+            os.close(descriptor)
             raise
-        self._lock = held
+        self._lock = descriptor
 
     def unlock(self) -> None:
         """Release the lock, if held."""
@@ -73,9 +76,9 @@
 
     def write(self, name: str, data: bytes) -> None:
         with self._opened(name, os.O_CREAT | os.O_TRUNC | os.O_WRONLY) as file:
-            left = memoryview(data)
-            while left:
-                left = left[os.write(file, left) :]
+            remaining = memoryview(data)
+            while remaining:
+                remaining = remaining[os.write(file, remaining) :]
 
     def sync(self, name: str) -> None:
         with self._opened(name, os.O_RDONLY) as file:
--- a/capershelf/memory/planner_memory.py
+++ b/capershelf/memory/planner_memory.py
@@ -14,7 +14,7 @@
 from immutables import Map
 from loguru import logger
 
-from capershelf.core import model as m
+from capershelf.core import model
 from capershelf.interface import LearnedServer, RestoredKnowledge, ServerStatus
 from capershelf.memory.ageing import (
     CheckpointAge,
@@ -76,7 +76,7 @@
         )
         self._is_first_list = True
         self.servers: Map[str, ServerRecord] = Map()
-        self._active: dict[str, tuple[m.LocatedServer, bool]] = {}  # active servers; reports_all_starts
+        self._active: dict[str, tuple[model.LocatedServer, bool]] = {}  # active servers; reports_all_starts
         self._changed_uids: dict[str, None] = {}  # in the order of change
         self._large_change = self._unpublished = False
         self._last_snapshot: Snapshot | None = None
@@ -85,7 +85,7 @@
         self._ending = False
 
     # -- restoring ------------------------------------------------------------------------------------
-    def recall(self, news: m.ServerListUpdate, now_ms: float) -> RestoredKnowledge | None:
+    def recall(self, news: model.ServerListUpdate, now_ms: float) -> RestoredKnowledge | None:
         self._apply_list(news, now_ms)
         if self._checkpoint is None or not self._unmatched and not self._is_first_list:
             return None
@@ -130,7 +130,12 @@
         return RestoredKnowledge(asked, tuple(known)) if known or asked else None
 
     def _restored_record(
-        self, old: ServerRecord, aged: LearnedServer, located: m.LocatedServer, vouched: bool, now_ms: float
+        self,
+        old: ServerRecord,
+        aged: LearnedServer,
+        located: model.LocatedServer,
+        vouched: bool,
+        now_ms: float,
     ) -> ServerRecord:
         """Return the restored record for the next checkpoint; it keeps its age until it is updated."""
         checkpoint_age = CheckpointAge(self._checkpoint.saved_ms if self._checkpoint else now_ms, now_ms)
@@ -148,7 +153,7 @@
             silent=aged.ejected,
         )
 
-    def _apply_list(self, news: m.ServerListUpdate, now_ms: float) -> None:
+    def _apply_list(self, news: model.ServerListUpdate, now_ms: float) -> None:
         """Update the active servers; one that drains, is removed or restarts loses its record."""
         if news.complete:
             for uid in set(self._active) - {located.listed.server for located in news.servers}:
@@ -187,7 +192,7 @@
         """Queue the server for the next collect()."""
         self._changed_uids[server] = None
 
-    def collect(self, source: m.LearnedSource, now_ms: float, everything: bool) -> float:
+    def collect(self, source: model.LearnedSource, now_ms: float, everything: bool) -> float:
         """Update changed records, publish a snapshot when due, and return when to call this next."""
         left = len(self._changed_uids) if everything else MAX_SERVERS_PER_COLLECT
         while self._changed_uids and left > 0:
--- a/capershelf/memory/schedule.py
+++ b/capershelf/memory/schedule.py
@@ -22,7 +22,7 @@
 
     def __init__(self, period_ms: float, now_ms: float) -> None:
         self._period_ms = period_ms
-        self._last_ms = now_ms
+        self._last_attempt_ms = now_ms
         self._backoff_ms = 0.0
         self._pending = self._large_change = False
 
@@ -36,10 +36,11 @@
         if not self._pending:
             return math.inf
         wait_ms = min(MIN_WRITE_INTERVAL_MS, self._period_ms) if self._large_change else self._period_ms
-        return self._last_ms + max(wait_ms, self._backoff_ms)
+        return self._last_attempt_ms + max(wait_ms, self._backoff_ms)
 
     def write_succeeded(self, now_ms: float) -> None:
-        self._last_ms, self._backoff_ms = now_ms, 0.0
+        """Record a successful write."""
+        self._last_attempt_ms, self._backoff_ms = now_ms, 0.0
         self._pending = self._large_change = False
 
     def write_failed(self, now_ms: float) -> float:
@@ -47,7 +48,7 @@
 
         The backoff keeps a failing disk from being written to, and the log from being filled, without limit.
         """
-        self._last_ms = now_ms
+        self._last_attempt_ms = now_ms
         self._backoff_ms = min(MAX_BACKOFF_MS, max(MIN_BACKOFF_MS, 2.0 * self._backoff_ms))
         return self._backoff_ms
 
@@ -62,8 +63,10 @@
         return old is not new
     if (old.silent, old.started_ms, old.endpoint) != (new.silent, new.started_ms, new.endpoint):
         return True
-    most = max(old.rate_per_s, new.rate_per_s)
-    return most >= MIN_LARGE_RATE_PER_S and abs(new.rate_per_s - old.rate_per_s) > LARGE_CHANGE_RATIO * most
+    higher = max(old.rate_per_s, new.rate_per_s)
+    return (
+        higher >= MIN_LARGE_RATE_PER_S and abs(new.rate_per_s - old.rate_per_s) > LARGE_CHANGE_RATIO * higher
+    )
 
 
 def merge_records(parts: list[Mapping[str, ServerRecord]]) -> tuple[ServerRecord, ...]:
--- a/capershelf/memory/store.py
+++ b/capershelf/memory/store.py
@@ -21,28 +21,31 @@
 
 
 class Store:
-    """Not thread-safe; with a proxy's name only that proxy's checkpoints are accepted."""
+    """Loads and saves the checkpoints of one proxy; not thread-safe.
+
+    With a proxy's name only that proxy's checkpoints are accepted.
+    """
 
     def __init__(self, disk: Disk, proxy: str, key: bytes | None) -> None:
         self._files, self._proxy, self._key = Generations(disk, "memory"), proxy, key
 
     def inspect(self) -> list[FoundFile]:
         """Read both generations without changing them, the newest valid one first."""
-        found = []
+        files = []
         for name, data in self._files.read():
             try:
                 checkpoint = decode(data, self._key)
                 if self._proxy and checkpoint.proxy != self._proxy:
                     raise RejectedFileError(f"it is the memory of {checkpoint.proxy!r}")
-                found.append(FoundFile(name, checkpoint))
+                files.append(FoundFile(name, checkpoint))
             except NewerFormatError as problem:
-                found.append(FoundFile(name, None, str(problem), "newer"))
+                files.append(FoundFile(name, None, str(problem), "newer"))
             except CorruptFileError as problem:
-                found.append(FoundFile(name, None, str(problem), "spoilt"))
+                files.append(FoundFile(name, None, str(problem), "spoilt"))
             except RejectedFileError as problem:
-                found.append(FoundFile(name, None, str(problem), "refused"))
+                files.append(FoundFile(name, None, str(problem), "refused"))
         return sorted(
-            found, key=lambda one: -1 if one.checkpoint is None else one.checkpoint.generation, reverse=True
+            files, key=lambda one: -1 if one.checkpoint is None else one.checkpoint.generation, reverse=True
         )
 
     def load(self) -> tuple[Checkpoint | None, list[str]]:
@@ -57,8 +60,8 @@
                 raise NewerFormatError(f"{one.name}: {one.problem}")
         for one in found:
             if one.checkpoint is None:
-                kept = self._files.quarantine(one.name, one.kind)
-                messages.append(f"{one.name}: {one.problem}; kept as {kept}")
+                quarantined = self._files.quarantine(one.name, one.kind)
+                messages.append(f"{one.name}: {one.problem}; kept as {quarantined}")
         return next((one.checkpoint for one in found if one.checkpoint is not None), None), messages
 
     def save(self, checkpoint: Checkpoint) -> int:
--- a/capershelf/memory/writer.py
+++ b/capershelf/memory/writer.py
@@ -36,12 +36,12 @@
         self.inbox: Inbox[Snapshot | Shutdown] = Inbox(clock)
         self.ended = threading.Event()
         self.writes, self.failures = 0, 0
-        self.last_bytes, self.last_ms = 0, 0.0
+        self.last_write_bytes, self.last_write_ms = 0, 0.0
         self._store, self._clock = store, clock
         self._release, self._proxy, self._senders = release, proxy, senders
         self._generation = generation
         self._schedule = WriteSchedule(period_ms, clock.now_ms())
-        self._parts: dict[int, Snapshot] = {}
+        self._snapshots: dict[int, Snapshot] = {}
 
     def run(self) -> None:
         """Process snapshots; only the newest of each planner is held, however slow the disk is."""
@@ -51,7 +51,7 @@
                 event = self.inbox.take(self._schedule.due_ms())
                 if isinstance(event, Snapshot):
                     event.taken = True
-                    self._parts[event.planner] = event
+                    self._snapshots[event.planner] = event
                     self._schedule.mark_changed(event.large)
                 ending = isinstance(event, Shutdown)
                 due = self._clock.now_ms() >= self._schedule.due_ms()
@@ -61,25 +61,25 @@
             self.ended.set()
 
     def _write(self) -> None:
-        began_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         checkpoint = Checkpoint(
             release=self._release,
             proxy=self._proxy,
             generation=self._generation + 1,
-            saved_ms=began_ms,
+            saved_ms=started_ms,
             senders=self._senders,
-            asked_per_s=sum(part.asked_per_s for part in self._parts.values()),
-            servers=merge_records([part.servers for part in self._parts.values()]),
+            asked_per_s=sum(snapshot.asked_per_s for snapshot in self._snapshots.values()),
+            servers=merge_records([snapshot.servers for snapshot in self._snapshots.values()]),
         )
         try:
-            self.last_bytes = self._store.save(checkpoint)
+            self.last_write_bytes = self._store.save(checkpoint)
         except Exception as problem:  # a disk error must not stop the proxy: schedule a retry
             self.failures += 1
-            again_ms = self._schedule.write_failed(self._clock.now_ms())
+            retry_delay_ms = self._schedule.write_failed(self._clock.now_ms())
             logger.warning(
                 "memory: write failed, retry in {again_s:.0f} s: {problem}",
                 event="memory-unwritten",
-                again_s=again_ms / 1000.0,
+                again_s=retry_delay_ms / 1000.0,
                 problem=problem,
             )
             return
@@ -91,12 +91,12 @@
             )
         self.writes, self.failures = self.writes + 1, 0
         self._generation = checkpoint.generation
-        self.last_ms = self._clock.now_ms() - began_ms
+        self.last_write_ms = self._clock.now_ms() - started_ms
         self._schedule.write_succeeded(self._clock.now_ms())
         logger.debug(
             "memory: {count} servers, {bytes} bytes in {took_ms:.1f} ms",
             event="memory-written",
             count=len(checkpoint.servers),
-            bytes=self.last_bytes,
-            took_ms=self.last_ms,
+            bytes=self.last_write_bytes,
+            took_ms=self.last_write_ms,
         )
--- a/tests/memory_rig.py
+++ b/tests/memory_rig.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from capershelf import interface as api
-from capershelf.core import model as m
+from capershelf import interface
+from capershelf.core import model
 from capershelf.memory.disk import Folder
 from capershelf.memory.records import Checkpoint, ServerRecord
 
@@ -55,15 +55,15 @@
     uid: str = "s0",
     started_ms: float | None = NOW_MS - 1e6,
     endpoint: str = "",
-    status: api.ServerStatus = api.ServerStatus.ACTIVE,
-) -> m.LocatedServer:
-    return m.LocatedServer(api.ListedServer(uid, 0, status, started_ms), endpoint or f"{uid}:1")
+    status: interface.ServerStatus = interface.ServerStatus.ACTIVE,
+) -> model.LocatedServer:
+    return model.LocatedServer(interface.ListedServer(uid, 0, status, started_ms), endpoint or f"{uid}:1")
 
 
 def news(
-    *servers: m.LocatedServer, complete: bool = True, reports_all_starts: bool = True
-) -> m.ServerListUpdate:
-    return m.ServerListUpdate(1, complete, servers, reports_all_starts)
+    *servers: model.LocatedServer, complete: bool = True, reports_all_starts: bool = True
+) -> model.ServerListUpdate:
+    return model.ServerListUpdate(1, complete, servers, reports_all_starts)
 
 
 class PowerLossError(Exception):
--- a/tests/test_memory_decisions.py
+++ b/tests/test_memory_decisions.py
@@ -13,7 +13,7 @@
 from hypothesis import given, seed
 from hypothesis import settings as hypothesis_settings
 
-from capershelf import interface as api
+from capershelf import interface
 from capershelf.control import ASSUMED_COLD_SET_UPS, ASSUMED_SERVED_SHARE, MIN_THRESHOLD
 from capershelf.memory.ageing import (
     CheckpointAge,
@@ -42,17 +42,17 @@
 HALF_LIVES = HalfLives()
 HOUR_MS, DAY_MS = 3_600_000.0, 86_400_000.0
 MAX_AGE_MS = 7 * DAY_MS
-REMOVED, DRAINING = api.ServerStatus.REMOVED, api.ServerStatus.DRAINING
+REMOVED, DRAINING = interface.ServerStatus.REMOVED, interface.ServerStatus.DRAINING
 
 
 # -- ageing -------------------------------------------------------------------------------------------
-def aged(age_ms: float, part: float = 1.0, **changes: Any) -> api.LearnedServer | None:
+def aged(age_ms: float, part: float = 1.0, **changes: Any) -> interface.LearnedServer | None:
     return age_server(record(**changes), CheckpointAge(NOW_MS, NOW_MS + age_ms), HALF_LIVES, MAX_AGE_MS, part)
 
 
 def test_each_kind_of_knowledge_has_its_own_half_life() -> None:
     new = aged(0.0)
-    assert new == api.LearnedServer("s0", 20.0, 100.0, 8.0, 40.0, False)
+    assert new == interface.LearnedServer("s0", 20.0, 100.0, 8.0, 40.0, False)
     soon = aged(15_000.0)
     assert soon is not None
     assert soon.wait_ms == pytest.approx(50.0)
@@ -160,7 +160,7 @@
 def test_without_proof_only_the_base_latency_is_kept() -> None:
     known = aged(0.0)
     assert known is not None
-    assert latency_only(known) == api.LearnedServer("s0", base_latency_ms=8.0)
+    assert latency_only(known) == interface.LearnedServer("s0", base_latency_ms=8.0)
 
 
 # -- a planner's memory -------------------------------------------------------------------------------
@@ -168,9 +168,9 @@
     """Stands in for a controller's learned state."""
 
     def __init__(self) -> None:
-        self.known: dict[str, api.LearnedServer] = {}
+        self.known: dict[str, interface.LearnedServer] = {}
 
-    def learned(self, server: str) -> api.LearnedServer | None:
+    def learned(self, server: str) -> interface.LearnedServer | None:
         return self.known.get(server)
 
     def new_call_rate(self) -> float:
@@ -188,7 +188,7 @@
         )
 
     def learn(self, uid: str, now_ms: float, **changes: object) -> None:
-        self.source.known[uid] = replace(api.LearnedServer(uid, 20.0, 5.0, 8.0), **changes)  # type: ignore[arg-type]
+        self.source.known[uid] = replace(interface.LearnedServer(uid, 20.0, 5.0, 8.0), **changes)  # type: ignore[arg-type]
         self.memory.mark_changed(uid)
         self.memory.collect(self.source, now_ms, False)
 
@@ -265,7 +265,7 @@
     uids = [f"s{n}" for n in range(5 * MAX_SERVERS_PER_COLLECT)]
     rig.memory.recall(news(*(located(uid) for uid in uids)), NOW_MS)
     for uid in uids:
-        rig.source.known[uid] = api.LearnedServer(uid)
+        rig.source.known[uid] = interface.LearnedServer(uid)
         rig.memory.mark_changed(uid)
     rig.memory.collect(rig.source, NOW_MS, False)
     assert len(rig.memory.servers) == MAX_SERVERS_PER_COLLECT
@@ -332,7 +332,7 @@
 
 # -- the module ---------------------------------------------------------------------------------------
 FIGURES = st.builds(
-    api.LearnedServer,
+    interface.LearnedServer,
     st.just("s0"),
     st.floats(0, 1e4),
     st.floats(0, 1e4),
@@ -346,14 +346,14 @@
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=40, database=None)
 @given(FIGURES, st.floats(0, 1e4), st.lists(st.integers(1, 60), min_size=30, max_size=60))
 def test_restored_knowledge_never_raises_the_cold_budget(
-    known: api.LearnedServer, asked_per_s: float, gaps: list[int]
+    known: interface.LearnedServer, asked_per_s: float, gaps: list[int]
 ) -> None:
     """Even where the host restores a cold server's knowledge as if the server were warm.
 
     The budget is calculated here from what this process has seen: this gateway's share of the fleet's budget.
     """
     rig = Rig(0)
-    rig.feed(api.RestoredKnowledge(asked_per_s, (known,)))
+    rig.feed(interface.RestoredKnowledge(asked_per_s, (known,)))
     began_ms = rig.now_ms
     rig.list_of(listed("s0", 0, started_ms=began_ms))
     module, settings = rig.controller, rig.controller.settings
@@ -362,7 +362,7 @@
     for number, gap in enumerate(gaps):
         rig.tick(gap)
         rig.call(number, expires_in_ms=9000.0)
-        for action in [a for a in rig.all if isinstance(a, api.Send)]:
+        for action in [a for a in rig.all if isinstance(a, interface.Send)]:
             sent.append(rig.now_ms)
             while sent[0] <= rig.now_ms - settings.fall_ms:
                 sent.popleft()
@@ -382,8 +382,8 @@
 
 def test_the_module_starts_from_restored_knowledge_and_returns_it() -> None:
     rig = Rig(0)
-    known = api.LearnedServer("s0", 30.0, 120.0, 9.0, 25.0, False)
-    rig.feed(api.RestoredKnowledge(40.0, (known, api.LearnedServer("s9", 1.0))))
+    known = interface.LearnedServer("s0", 30.0, 120.0, 9.0, 25.0, False)
+    rig.feed(interface.RestoredKnowledge(40.0, (known, interface.LearnedServer("s9", 1.0))))
     rig.list_of(listed("s0", 0), listed("s1", 1))
     gate = rig.controller.gates["s0"]
     assert (gate.restored_rate_per_ms, gate.observed_wait_ms, gate.base_latency_ms, gate.threshold) == (
@@ -394,7 +394,7 @@
     )
     assert rig.controller.new_call_rate() == pytest.approx(0.04)
     assert rig.controller.learned("s0") == replace(known, rate_per_s=0.0)  # own answers only
-    assert rig.controller.learned("s1") == api.LearnedServer("s1")
+    assert rig.controller.learned("s1") == interface.LearnedServer("s1")
     assert rig.controller.learned("s9") is None
     rig.list_of(listed("s0", 0, DRAINING), listed("s1", 1))
     assert rig.controller.learned("s0") is None
@@ -402,31 +402,31 @@
     assert rig.controller.gates["s0"].restored_rate_per_ms == 0.0
 
 
-def sent_after_a_queue(known: api.LearnedServer | None) -> int:
+def sent_after_a_queue(known: interface.LearnedServer | None) -> int:
     """Return how many of ten held calls are sent within 100 ms once their server has free lines again."""
     rig = Rig(0)
     if known is not None:
-        rig.feed(api.RestoredKnowledge(0.0, (known,)))
+        rig.feed(interface.RestoredKnowledge(0.0, (known,)))
     rig.list_of(listed("s0", 0))
-    rig.feed(api.ServerReport("s0", api.Result.OK, api.LoadReport(0.0, 50.0), False))
+    rig.feed(interface.ServerReport("s0", interface.Result.OK, interface.LoadReport(0.0, 50.0), False))
     for number in range(1, 11):
         rig.call(number)
-    rig.feed(api.ServerReport("s0", api.Result.OK, api.LoadReport(50.0, 50.0), False))
+    rig.feed(interface.ServerReport("s0", interface.Result.OK, interface.LoadReport(50.0, 50.0), False))
     rig.tick(100)
-    return sum(isinstance(action, api.Send) for action in rig.all)
+    return sum(isinstance(action, interface.Send) for action in rig.all)
 
 
 def test_a_server_with_a_restored_rate_is_paced_faster_than_an_unknown_one() -> None:
-    assert sent_after_a_queue(api.LearnedServer("s0", 200.0)) > sent_after_a_queue(None) + 2
+    assert sent_after_a_queue(interface.LearnedServer("s0", 200.0)) > sent_after_a_queue(None) + 2
 
 
 def test_a_server_restored_as_ejected_is_tried_with_the_first_call() -> None:
     rig = Rig(0)
-    rig.feed(api.RestoredKnowledge(40.0, (api.LearnedServer("s0", ejected=True),)))
+    rig.feed(interface.RestoredKnowledge(40.0, (interface.LearnedServer("s0", ejected=True),)))
     rig.list_of(listed("s0", 0), listed("s1", 1))
     rig.call(1)
-    assert [(a.call, a.server) for a in rig.of(api.Send)] == [(1, "s0")]
+    assert [(a.call, a.server) for a in rig.of(interface.Send)] == [(1, "s0")]
     rig.call(2)
-    assert [a.server for a in rig.of(api.Send)] == ["s1"]
+    assert [a.server for a in rig.of(interface.Send)] == ["s1"]
     rig.succeed(1)
     assert not rig.controller.gates["s0"].ejected
