--- a/capershelf/commands/memory.py
+++ b/capershelf/commands/memory.py
@@ -21,12 +21,12 @@
 
 from capershelf import config as configuration
 from capershelf.config import MemorySettings
-from capershelf.memory.ageing import Clocks, HalfLives, age_asked, age_server, part_of
-from capershelf.memory.disk import BusyError, Folder
+from capershelf.memory.ageing import CheckpointAge, HalfLives, age_new_call_rate, age_server, planner_share
+from capershelf.memory.disk import FolderLockedError, Folder
 from capershelf.memory.format import FORMAT, encode
-from capershelf.memory.memory import lives_of, read_key
-from capershelf.memory.records import Book
-from capershelf.memory.store import Found, Store
+from capershelf.memory.memory import half_lives_from, read_key
+from capershelf.memory.records import Checkpoint
+from capershelf.memory.store import FoundFile, Store
 
 EXIT_SUCCESS = 0
 EXIT_UNUSABLE = 1
@@ -60,20 +60,22 @@
         self.folder = Folder(Path(settings.folder))
         self.store = Store(self.folder, "", self.key)
 
-    def read_generations(self) -> list[Found]:
+    def read_generations(self) -> list[FoundFile]:
         """Read both generations, newest first; exits if the folder is inaccessible."""
         try:
-            return self.store.look()
+            return self.store.inspect()
         except OSError as problem:
             fail(f"{self.settings.folder}: {problem}", EXIT_UNUSABLE)
 
-    def book(self) -> Book:
+    def book(self) -> Checkpoint:
         """Return the newest valid book; exits if there is none."""
         generations = self.read_generations()
         for generation in generations:
             if generation.kind == "newer":
                 fail(f"{generation.name}: {generation.problem}", EXIT_NEWER_FORMAT)
-        if (book := next((one.book for one in generations if one.book is not None), None)) is None:
+        if (
+            book := next((one.checkpoint for one in generations if one.checkpoint is not None), None)
+        ) is None:
             problems = "\n".join(f"{one.name}: {one.problem}" for one in generations)
             fail(problems or "nothing is remembered here", EXIT_UNUSABLE)
         return book
@@ -83,12 +85,12 @@
         click.get_current_context().call_on_close(self.folder.unlock)
         try:
             self.folder.lock()
-        except BusyError:
+        except FolderLockedError:
             fail("a running proxy holds this folder; stop it first", EXIT_UNUSABLE)
         except OSError as problem:
             fail(str(problem), EXIT_UNUSABLE)
 
-    def save(self, book: Book) -> None:
+    def save(self, book: Checkpoint) -> None:
         """Write a book; exits if it cannot be written."""
         try:
             self.store.save(book)
@@ -120,7 +122,7 @@
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 
 
-def to_json_object(book: Book) -> dict[str, Any]:
+def to_json_object(book: Checkpoint) -> dict[str, Any]:
     """Return a book as an object that json can write."""
     fields = msgspec.to_builtins(book)
     assert isinstance(fields, dict)
@@ -196,7 +198,7 @@
                             "name": one.name,
                             "kind": one.kind or "good",
                             "problem": one.problem,
-                            "generation": one.book.generation if one.book else None,
+                            "generation": one.checkpoint.generation if one.checkpoint else None,
                         }
                         for one in generations
                     ]
@@ -205,14 +207,20 @@
         )
     else:
         for one in generations:
-            state = f"good, generation {one.book.generation}" if one.book else f"{one.kind}: {one.problem}"
+            state = (
+                f"good, generation {one.checkpoint.generation}"
+                if one.checkpoint
+                else f"{one.kind}: {one.problem}"
+            )
             click.echo(f"{one.name}: {state}")
         if not generations:
             click.echo("nothing is remembered here")
     if any(one.kind == "newer" for one in generations):
         sys.exit(EXIT_NEWER_FORMAT)
     sys.exit(
-        EXIT_SUCCESS if generations and all(one.book is not None for one in generations) else EXIT_UNUSABLE
+        EXIT_SUCCESS
+        if generations and all(one.checkpoint is not None for one in generations)
+        else EXIT_UNUSABLE
     )
 
 
@@ -230,12 +238,12 @@
     """Show the values of a proxy that starts then, before the list tells which servers are unchanged."""
     book = memory.book()
     at_ms = parse_time(at, book)
-    clocks = Clocks(book.saved_ms, at_ms)
-    half_lives: HalfLives = lives_of(memory.settings)
+    clocks = CheckpointAge(book.saved_ms, at_ms)
+    half_lives: HalfLives = half_lives_from(memory.settings)
     max_age_ms = memory.settings.most_age_ms
-    share = part_of(book.senders, memory.senders or book.senders, memory.planners)
+    share = planner_share(book.senders, memory.senders or book.senders, memory.planners)
     aged = [age_server(record, clocks, half_lives, max_age_ms, share) for record in book.servers]
-    new_calls_per_s = age_asked(book, clocks, half_lives, max_age_ms, memory.planners)
+    new_calls_per_s = age_new_call_rate(book, clocks, half_lives, max_age_ms, memory.planners)
     known = [one for one in aged if one is not None]
     if as_json:
         click.echo(
@@ -268,7 +276,7 @@
     show_table(title, ("server", *VALUE_COLUMNS), rows)
 
 
-def parse_time(at: str, book: Book) -> float:
+def parse_time(at: str, book: Checkpoint) -> float:
     """Return the time given by --at in milliseconds since the epoch."""
     try:
         if at == "now":
--- a/capershelf/node.py
+++ b/capershelf/node.py
@@ -97,10 +97,10 @@
     """Create the memory that survives a restart, if configured; its modules are imported only then."""
     if config.memory is None:
         return None
-    from capershelf.memory.memory import Memory, Who
+    from capershelf.memory.memory import Memory, ProxyIdentity
 
     senders = config.settings.gateway_count
-    return Memory(config.memory, Who(config.name, VERSION, senders, config.planners), clock)
+    return Memory(config.memory, ProxyIdentity(config.name, VERSION, senders, config.planners), clock)
 
 
 def open_subset(config: Config, settings: Settings) -> Subset | None:
@@ -155,8 +155,8 @@
             )
         self.memory = open_memory(config, self.clock)
         if self.memory is not None:
-            for planner, keeper in zip(self.planners, self.memory.keepers, strict=True):
-                planner.memory = keeper
+            for planner, planner_memory in zip(self.planners, self.memory.planner_memories, strict=True):
+                planner.memory = planner_memory
         self.fronts: list[Listener] = []
         self.front_contexts: list[FrontContext] = []
         terms = SetUpLimits.from_settings(config.settings)
