--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -280,12 +280,12 @@
         for seed in seeds:
             shape = Shape(proxies, servers, zones, spares, seconds)
             report = fleet_day.play(fleet_day.Plan(name, seed, shape, load, per_server, extra=extra))
-            kept &= not report.broken
+            kept &= not report.violations
             if as_json:
                 click.echo(json.dumps(report.as_json()))
             else:
                 click.echo(report.text())
-            for one in report.broken[:20]:
+            for one in report.violations[:20]:
                 click.echo(f"  {one}", err=True)
             if logs is not None:
                 report.keep_logs(logs)
--- a/lab/fleet/__init__.py
+++ b/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Several processes of the program, stand-ins round them, faults between them, and a check of every rule."""
+"""Runs several proxies against simulated peers, injects faults, and checks the recorded behaviour."""
--- a/lab/fleet/board.py
+++ b/lab/fleet/board.py
@@ -1,4 +1,4 @@
-"""The notice board as each proxy sees it: numbered events, from 1 at each of its starts, by long polls."""
+"""Simulated notice board: numbered events served by long polling, renumbered from 1 at each proxy start."""
 
 from __future__ import annotations
 
@@ -9,114 +9,120 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from lab.fleet.records import Seen, Told
+from lab.fleet.records import DayRecord, DrainNotice
 from lab.fleet.servers import BookingServer
-from lab.fleet.stage import Stage, Wire
+from lab.fleet.network import EventLoop, LineStream
 
 
-class Board:
-    """One proxy's notice board.  held: what happens is put in only once it is let go."""
+class NoticeBoard:
+    """One proxy's notice board.  While `held` is set, updates are queued and published on release."""
 
-    def __init__(self, stage: Stage, seen: Seen, proxy: int, host: str) -> None:
-        self.stage, self.seen, self.proxy = stage, seen, proxy
-        self.life = 0
-        self.held = self.dark = False
+    def __init__(self, loop: EventLoop, record: DayRecord, proxy: int, host: str) -> None:
+        self.loop, self.record, self.proxy = loop, record, proxy
+        self.run = 0
+        self.held = self.partitioned = False
         self._events: list[dict[str, Any]] = []
-        self._waiting: list[tuple[Wire, int, float]] = []
-        self._held: list[list[BookingServer]] = []
-        self._told: dict[str, Told] = {}
+        self._waiting: list[tuple[LineStream, int, float]] = []
+        self._held_updates: list[list[BookingServer]] = []
+        self._open_notices: dict[str, DrainNotice] = {}
         self._listener = socket.create_server((host, 0), backlog=16)
         self._listener.setblocking(False)
         self.address = "{}:{}".format(*self._listener.getsockname())
-        stage.poller.register(self._listener, select.POLLIN, self._accept)
+        loop.poller.register(self._listener, select.POLLIN, self._accept)
 
-    def begin(self, life: int, servers: list[BookingServer]) -> dict[str, Any]:
-        """A new start of the proxy: the whole list is its first event, which the configuration holds."""
-        self.life = life
-        self._told.clear()
-        self._held.clear()
+    def start_run(self, run: int, servers: list[BookingServer]) -> dict[str, Any]:
+        """Start a proxy run with the complete list as event 1; return it for the proxy's configuration."""
+        self.run = run
+        self._open_notices.clear()
+        self._held_updates.clear()
         self._events = [self._event(1, servers, True)]
         for server in servers:
-            self._note(server)
+            self._record_state(server)
         return {"rev": 1, "notices": list(self._events)}
 
-    def changed(self, servers: list[BookingServer]) -> None:
-        """These are listed otherwise than before."""
-        if not self.life:
+    def publish(self, servers: list[BookingServer]) -> None:
+        """Publish the changed entries of these booking servers."""
+        if not self.run:
             return
         if self.held:
-            self._held.append(servers)
+            self._held_updates.append(servers)
             return
         self._events.append(self._event(len(self._events) + 1, servers, False))
         for server in servers:
-            self._note(server)
+            self._record_state(server)
         self._answer_all()
 
-    def let_go(self) -> None:
+    def release_held(self) -> None:
+        """Publish the queued updates."""
         self.held = False
-        waiting, self._held = self._held, []
+        waiting, self._held_updates = self._held_updates, []
         for servers in waiting:
-            self.changed(servers)
+            self.publish(servers)
 
-    def lighten(self) -> None:
-        self.dark = False
+    def heal(self) -> None:
+        """Answer polls again."""
+        self.partitioned = False
         self._answer_all()
 
-    def _event(self, number: int, servers: list[BookingServer], whole: bool) -> dict[str, Any]:
+    def _event(self, number: int, servers: list[BookingServer], complete: bool) -> dict[str, Any]:
         targets = [
             {
                 "uid": server.uid,
-                "endpoint": server.ways[self.proxy].address,
+                "endpoint": server.links[self.proxy].address,
                 "az": f"z{server.zone}",
                 "model": "std",
-                "pod_group": server.place,
+                "pod_group": server.pool,
                 "state": server.state,
                 "boot_ms": server.boot_ms,
             }
             for server in servers
         ]
-        return {"rev": number, "pool": {"rev": number, "all": whole, "targets": targets}}
+        return {"rev": number, "pool": {"rev": number, "all": complete, "targets": targets}}
 
-    def _note(self, server: BookingServer) -> None:
-        told = self._told.get(server.uid)
+    def _record_state(self, server: BookingServer) -> None:
+        notice = self._open_notices.get(server.uid)
         if server.state == "up":
-            if told is not None:
-                told.back_ms = self.stage.now_ms
-                del self._told[server.uid]
-        elif told is None:
-            self._told[server.uid] = told = Told(self.proxy, self.life, server.uid, self.stage.now_ms)
-            self.seen.told.append(told)
+            if notice is not None:
+                notice.relisted_ms = self.loop.now_ms
+                del self._open_notices[server.uid]
+        elif notice is None:
+            self._open_notices[server.uid] = notice = DrainNotice(
+                self.proxy, self.run, server.uid, self.loop.now_ms
+            )
+            self.record.drain_notices.append(notice)
 
     # -- HTTP -----------------------------------------------------------------------------------------
-    def _accept(self, what: int) -> None:
+    def _accept(self, events: int) -> None:
         sock, _ = self._listener.accept()
-        wire = Wire(self.stage, sock, lambda line, first_ms: self._line(wire, line), lambda: None)
+        stream = LineStream(
+            self.loop, sock, lambda line, first_byte_ms: self._on_line(stream, line), lambda: None
+        )
 
-    def _line(self, wire: Wire, line: bytes) -> None:
-        """Only the request line matters here."""
+    def _on_line(self, stream: LineStream, line: bytes) -> None:
+        """Queue a long poll; only the request line is evaluated."""
         if not line.startswith(b"GET "):
             return
-        asked = parse_qs(urlsplit(line.split()[1].decode()).query)
-        by_ms = self.stage.now_ms + float(asked["linger"][0])
-        self._waiting.append((wire, int(asked["watch"][0]), by_ms))
+        query = parse_qs(urlsplit(line.split()[1].decode()).query)
+        due_ms = self.loop.now_ms + float(query["linger"][0])
+        self._waiting.append((stream, int(query["watch"][0]), due_ms))
         self._answer_all()
-        self.stage.poller.call_at(by_ms, self._answer_all)
+        self.loop.poller.call_at(due_ms, self._answer_all)
 
     def _answer_all(self) -> None:
-        if self.dark:
+        if self.partitioned:
             return
         waiting, self._waiting = self._waiting, []
-        for wire, after, by_ms in waiting:
-            if len(self._events) <= after and by_ms > self.stage.now_ms + 0.5:
-                self._waiting.append((wire, after, by_ms))
+        for stream, after, due_ms in waiting:
+            if len(self._events) <= after and due_ms > self.loop.now_ms + 0.5:
+                self._waiting.append((stream, after, due_ms))
                 continue
             body = json.dumps({"rev": len(self._events), "notices": self._events[after:]}).encode()
-            wire.write(
+            stream.write(
                 b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
                 + str(len(body)).encode()
                 + b"\r\n\r\n"
                 + body
             )
 
-    def told_ms(self, uid: str) -> float:
-        return self._told[uid].at_ms if uid in self._told else math.inf
+    def notice_ms(self, uid: str) -> float:
+        return self._open_notices[uid].at_ms if uid in self._open_notices else math.inf
--- a/lab/fleet/callers.py
+++ b/lab/fleet/callers.py
@@ -1,4 +1,4 @@
-"""The front before the proxies: callers' set-ups as they come, on connections kept a while."""
+"""Simulated callers: open-loop set-ups on connections that are kept until idle."""
 
 from __future__ import annotations
 
@@ -10,134 +10,145 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lab.fleet.records import Asked, Life, Outcome, Seen
-from lab.fleet.servers import line_of
-from lab.fleet.stage import Stage, Wire
+from lab.fleet.records import CallerSetUp, ProxyRun, Outcome, DayRecord
+from lab.fleet.servers import encode_message
+from lab.fleet.network import EventLoop, LineStream
 from lab.world import Arrival
 
-IDLE_MS = 4000.0  # a connection with no call on it is closed after this
-CONNECTIONS = 3  # to one proxy
-TEST_MS = 50.0  # between tests of a proxy that is not up yet
-CROSSED_MS = 50.0  # a set-up that crosses a close within this is sent once more
-NEW_MS, OLD_MS = 300.0, 500.0  # after SIGTERM: new connections, and requests on open ones, for so long
+IDLE_TIMEOUT_MS = 4000.0  # a connection with no call on it is closed after this
+MAX_CONNECTIONS = 3  # to one proxy
+PROBE_INTERVAL_MS = 50.0  # between readiness probes of a starting proxy
+CROSSED_CLOSE_MS = 50.0  # a set-up sent within this time before a close is resent once
+NEW_CONNECTION_MS = 300.0  # callers open new connections for this long after SIGTERM
+NEW_REQUEST_MS = 500.0  # callers send new set-ups on open connections for this long after SIGTERM
 REFUSALS = (34, 42, 102)
 CLASSES = ("slot-lookup", "slot-confirm")
 
 
 @dataclass(slots=True)
-class Line:
-    """One connection to a proxy, with its calls."""
+class ProxyConnection:
+    """A connection to a proxy and the calls sent on it."""
 
-    wire: Wire
-    calls: dict[str, Asked] = field(default_factory=dict)
+    stream: LineStream
+    calls: dict[str, CallerSetUp] = field(default_factory=dict)
     used_ms: float = 0.0
 
 
-class Front:
+class CallerGroup:
     """All callers of one proxy."""
 
     def __init__(
         self,
-        stage: Stage,
-        seen: Seen,
+        loop: EventLoop,
+        record: DayRecord,
         proxy: int,
         address: tuple[str, int],
         deadlines: tuple[float, ...],
         rng: random.Random,
     ) -> None:
-        self.stage, self.seen, self.proxy, self.address = stage, seen, proxy, address
+        self.loop, self.record, self.proxy, self.address = loop, record, proxy, address
         self._deadlines = deadlines
-        self.life: Life | None = None
+        self.run: ProxyRun | None = None
         self._rng = rng
-        self._lines: list[Line] = []
-        self._again: dict[str, Arrival] = {}  # whose callers may dial again, by the call's id
-        self._dials: dict[str, int] = {}
-        self._over = False
-
-    # -- the proxy's life -----------------------------------------------------------------------------
-    def await_life(self, life: Life) -> None:
-        """Test the proxy until it is ready; from then on it is asked."""
-        self.life = life
-        for line in list(self._lines):
-            self._ended(line)
-        self._test(life)
-
-    def _test(self, life: Life) -> None:
-        if self.life is not life or life.ready_ms < life.killed_ms:
+        self._connections: list[ProxyConnection] = []
+        self._redialable: dict[str, Arrival] = {}  # arrivals that may be redialed, by call id
+        self._dial_counts: dict[str, int] = {}
+        self._closed = False
+
+    # -- proxy runs -----------------------------------------------------------------------------------
+    def await_run(self, run: ProxyRun) -> None:
+        """Probe the proxy until it is ready; set-ups are sent to it from then on."""
+        self.run = run
+        for connection in list(self._connections):
+            self._on_closed(connection)
+        self._probe(run)
+
+    def _probe(self, run: ProxyRun) -> None:
+        if self.run is not run or run.ready_ms < run.killed_ms:
             return
         sock = socket.socket()
         try:
             sock.connect(self.address)
         except OSError:
             sock.close()
-            self.stage.after(TEST_MS, self._test, life)
+            self.loop.after(PROBE_INTERVAL_MS, self._probe, run)
             return
 
-        def came(line: bytes, first_ms: float) -> None:
+        def on_line(line: bytes, first_byte_ms: float) -> None:
             message = json.loads(line)
             if message["type"] == "pong" and message.get("cause") == 1:
-                life.ready_ms = min(life.ready_ms, self.stage.now_ms)
+                run.ready_ms = min(run.ready_ms, self.loop.now_ms)
             else:
-                self.stage.after(TEST_MS, self._test, life)
-            wire.close()
+                self.loop.after(PROBE_INTERVAL_MS, self._probe, run)
+            stream.close()
 
-        def ended() -> None:
-            self.stage.after(TEST_MS, self._test, life)
+        def on_closed() -> None:
+            self.loop.after(PROBE_INTERVAL_MS, self._probe, run)
 
-        wire = Wire(self.stage, sock, came, ended)
-        wire.write(line_of("ping", "1" * 16, cause=0))
+        stream = LineStream(self.loop, sock, on_line, on_closed)
+        stream.write(encode_message("ping", "1" * 16, cause=0))
 
     @property
-    def open_now(self) -> int:
-        """Calls that wait for an outcome."""
-        return sum(one.outcome is Outcome.NONE for line in self._lines for one in line.calls.values())
+    def pending_count(self) -> int:
+        """Number of set-ups without an outcome."""
+        return sum(
+            one.outcome is Outcome.NONE
+            for connection in self._connections
+            for one in connection.calls.values()
+        )
 
-    def close_door(self) -> None:
-        """Nobody asks or dials again from here on."""
-        self._over = True
+    def stop_calls(self) -> None:
+        """Send no more set-ups and redials."""
+        self._closed = True
 
     # -- set-ups --------------------------------------------------------------------------------------
-    def arrive(self, arrival: Arrival) -> bool:
-        """A caller asks, if the front has taken the proxy in and can reach it."""
-        life = self.life
-        if self._over or life is None or not life.ready_ms <= self.stage.now_ms:
+    def place_call(self, arrival: Arrival) -> bool:
+        """Send a set-up; return False if the proxy is not ready, is stopping or is unreachable."""
+        run = self.run
+        if self._closed or run is None or not run.ready_ms <= self.loop.now_ms:
             return False
-        since_ms = self.stage.now_ms - life.term_ms
-        line = self._line(since_ms < NEW_MS) if since_ms < OLD_MS else None
-        if line is None:
+        since_ms = self.loop.now_ms - run.term_ms
+        connection = (
+            self._pick_connection(since_ms < NEW_CONNECTION_MS) if since_ms < NEW_REQUEST_MS else None
+        )
+        if connection is None:
             return False
         kind = CLASSES[arrival.kind]
-        asked = Asked(
+        setup = CallerSetUp(
             f"{self._rng.getrandbits(64):016x}",
             self.proxy,
-            life.number,
+            run.number,
             kind,
             0.0,
             self._deadlines[arrival.kind],
         )
-        self._dials.setdefault(arrival.number, 0)
-        self._again[asked.call] = arrival
-        self._send(line, asked, arrival)
+        self._dial_counts.setdefault(arrival.number, 0)
+        self._redialable[setup.call] = arrival
+        self._send(connection, setup, arrival)
         return True
 
-    def _send(self, line: Line, asked: Asked, arrival: Arrival) -> None:
+    def _send(self, connection: ProxyConnection, setup: CallerSetUp, arrival: Arrival) -> None:
         fields = {
-            "class": asked.kind,
-            "left": f"{asked.left_ms:.0f}",
+            "class": setup.kind,
+            "left": f"{setup.remaining_ms:.0f}",
             "key": arrival.number,
             "extras": f"dest:{arrival.place};width:1;via:-1",
         }
-        line.calls[asked.call] = asked
-        if line.wire.write(line_of("setup", asked.call, fields=fields, sdp=f"asked for {asked.call}\r\n")):
-            asked.asked_ms = line.used_ms = self.stage.now_ms
-            self.seen.asked.append(asked)
+        connection.calls[setup.call] = setup
+        if connection.stream.write(
+            encode_message("setup", setup.call, fields=fields, sdp=f"asked for {setup.call}\r\n")
+        ):
+            setup.sent_ms = connection.used_ms = self.loop.now_ms
+            self.record.setups.append(setup)
         else:
-            del line.calls[asked.call]  # never taken whole
-
-    def _line(self, may_connect: bool) -> Line | None:
-        lines = [line for line in self._lines if line.wire.open]
-        if lines and (len(lines) >= CONNECTIONS or self._rng.random() < 0.8 or not may_connect):
-            return self._rng.choice(lines)
+            del connection.calls[setup.call]  # the socket did not accept the whole message
+
+    def _pick_connection(self, may_connect: bool) -> ProxyConnection | None:
+        connections = [connection for connection in self._connections if connection.stream.open]
+        if connections and (
+            len(connections) >= MAX_CONNECTIONS or self._rng.random() < 0.8 or not may_connect
+        ):
+            return self._rng.choice(connections)
         if not may_connect:
             return None
         sock = socket.socket()
@@ -146,104 +157,124 @@
         except OSError:
             sock.close()
             return None
-        line = Line(
-            Wire(self.stage, sock, lambda data, first_ms: self._heard(line, data), lambda: self._ended(line)),
-            used_ms=self.stage.now_ms,
+        connection = ProxyConnection(
+            LineStream(
+                self.loop,
+                sock,
+                lambda data, first_byte_ms: self._on_message(connection, data),
+                lambda: self._on_closed(connection),
+            ),
+            used_ms=self.loop.now_ms,
         )
-        self._lines.append(line)
-        self._idle(line)
-        return line
-
-    def _idle(self, line: Line) -> None:
-        if line.wire.open and not line.calls and self.stage.now_ms - line.used_ms >= IDLE_MS:
-            line.wire.close()
-            self._lines.remove(line)
-        elif line.wire.open:
-            self.stage.after(IDLE_MS / 4.0, self._idle, line)
-
-    # -- what proxies say -----------------------------------------------------------------------------
-    def _heard(self, line: Line, data: bytes) -> None:
-        now_ms = self.stage.now_ms
+        self._connections.append(connection)
+        self._check_idle(connection)
+        return connection
+
+    def _check_idle(self, connection: ProxyConnection) -> None:
+        if (
+            connection.stream.open
+            and not connection.calls
+            and self.loop.now_ms - connection.used_ms >= IDLE_TIMEOUT_MS
+        ):
+            connection.stream.close()
+            self._connections.remove(connection)
+        elif connection.stream.open:
+            self.loop.after(IDLE_TIMEOUT_MS / 4.0, self._check_idle, connection)
+
+    # -- messages from proxies ------------------------------------------------------------------------
+    def _on_message(self, connection: ProxyConnection, data: bytes) -> None:
+        now_ms = self.loop.now_ms
         try:
             message = json.loads(data)
             kind, call = message["type"], message["id"]
         except (ValueError, KeyError, TypeError):
-            self.seen.foul.append(f"proxy {self.proxy} to a caller: {data[:80]!r}")
+            self.record.invalid_messages.append(f"proxy {self.proxy} to a caller: {data[:80]!r}")
             return
         if kind not in ("answer", "release"):
             return
-        # No connection owns a call that stands: its end may come on any.
-        asked = next((one.calls[call] for one in [line, *self._lines] if call in one.calls), None)
-        if asked is None:
+        # An established call is not bound to a connection: its end may arrive on any of them.
+        setup = next((one.calls[call] for one in [connection, *self._connections] if call in one.calls), None)
+        if setup is None:
             return
-        if kind == "answer" or asked.outcome is Outcome.NONE:
-            asked.words += 1
-            asked.told_ms = min(asked.told_ms, now_ms)
+        if kind == "answer" or setup.outcome is Outcome.NONE:
+            setup.outcome_count += 1
+            setup.outcome_ms = min(setup.outcome_ms, now_ms)
         if kind == "answer":
-            asked.outcome, asked.description = Outcome.STANDS, message.get("sdp", "")
-            self._again.pop(call, None)
+            setup.outcome, setup.description = Outcome.ESTABLISHED, message.get("sdp", "")
+            self._redialable.pop(call, None)
             return
-        for one in self._lines:
+        for one in self._connections:
             one.calls.pop(call, None)
-        line.used_ms = now_ms
-        if asked.outcome is Outcome.STANDS:
-            asked.over_ms, asked.cut = now_ms, message.get("cause") != 16
+        connection.used_ms = now_ms
+        if setup.outcome is Outcome.ESTABLISHED:
+            setup.end_notified_ms, setup.interrupted = now_ms, message.get("cause") != 16
             return
-        asked.outcome = Outcome.REFUSED if message.get("cause") in REFUSALS else Outcome.FAILED
-        self._dial_again(call)
+        setup.outcome = Outcome.REFUSED if message.get("cause") in REFUSALS else Outcome.FAILED
+        self._schedule_redial(call)
 
-    def _dial_again(self, call: str) -> None:
-        arrival = self._again.pop(call)
-        dials = self._dials[arrival.number]
+    def _schedule_redial(self, call: str) -> None:
+        arrival = self._redialable.pop(call)
+        dials = self._dial_counts[arrival.number]
         if dials < len(arrival.redials):
-            self._dials[arrival.number] += 1
-            self.stage.after(arrival.redials[dials], self._redial, arrival)
+            self._dial_counts[arrival.number] += 1
+            self.loop.after(arrival.redials[dials], self._redial, arrival)
 
     def _redial(self, arrival: Arrival) -> None:
-        self.arrive(arrival)
-
-    def _ended(self, line: Line) -> None:
-        """The proxy has ended the connection, or its life is over."""
-        now_ms = self.stage.now_ms
-        line.wire.close()
-        if line in self._lines:
-            self._lines.remove(line)
-        calls = list(line.calls.values())
-        if len(calls) == 1 and calls[0].outcome is Outcome.NONE and now_ms - calls[0].asked_ms <= CROSSED_MS:
-            again = self._line(True)
-            arrival = self._again.get(calls[0].call)
-            if again is not None and arrival is not None:
-                self.seen.asked.remove(calls[0])
-                self._send(again, calls[0], arrival)
+        self.place_call(arrival)
+
+    def _on_closed(self, connection: ProxyConnection) -> None:
+        """The proxy closed the connection, or a new proxy run began."""
+        now_ms = self.loop.now_ms
+        connection.stream.close()
+        if connection in self._connections:
+            self._connections.remove(connection)
+        calls = list(connection.calls.values())
+        if (
+            len(calls) == 1
+            and calls[0].outcome is Outcome.NONE
+            and now_ms - calls[0].sent_ms <= CROSSED_CLOSE_MS
+        ):
+            replacement = self._pick_connection(True)
+            arrival = self._redialable.get(calls[0].call)
+            if replacement is not None and arrival is not None:
+                self.record.setups.remove(calls[0])
+                self._send(replacement, calls[0], arrival)
                 return
-        for asked in calls:
-            if asked.outcome is Outcome.NONE:
-                asked.outcome = Outcome.LOST
-            elif (other := next(iter(self._lines), None)) is not None:
-                other.calls[asked.call] = asked  # what stands lives on, and its end comes on another
+        for setup in calls:
+            if setup.outcome is Outcome.NONE:
+                setup.outcome = Outcome.LOST
+            elif (other := next(iter(self._connections), None)) is not None:
+                other.calls[setup.call] = setup  # the call goes on; its end arrives on another connection
 
     def close(self) -> None:
-        for line in self._lines:
+        for connection in self._connections:
             with contextlib.suppress(OSError):
-                line.wire.close()
-        self._lines.clear()
+                connection.stream.close()
+        self._connections.clear()
 
 
 def schedule(
-    stage: Stage, arrivals: list[Arrival], began_ms: float, fronts: list[Front], pick: Callable[[float], int]
+    loop: EventLoop,
+    arrivals: list[Arrival],
+    began_ms: float,
+    caller_groups: list[CallerGroup],
+    pick: Callable[[float], int],
 ) -> None:
-    """Have each caller come at its time, one timer ahead at a time."""
-    coming = iter(arrivals)
+    """Start each call at its arrival time, with one timer pending at a time."""
+    remaining = iter(arrivals)
 
-    def next_one(*_: Any) -> None:
-        arrival = next(coming, None)
+    def schedule_next(*_: Any) -> None:
+        arrival = next(remaining, None)
         if arrival is not None:
 
-            def come() -> None:
+            def start_call() -> None:
                 first = pick(arrival.chance)
-                any(fronts[(first + n) % len(fronts)].arrive(arrival) for n in range(len(fronts)))
-                next_one()
+                any(
+                    caller_groups[(first + n) % len(caller_groups)].place_call(arrival)
+                    for n in range(len(caller_groups))
+                )
+                schedule_next()
 
-            stage.poller.call_at(began_ms + arrival.at_ms, come)
+            loop.poller.call_at(began_ms + arrival.at_ms, start_call)
 
-    next_one()
+    schedule_next()
--- a/lab/fleet/checker.py
+++ b/lab/fleet/checker.py
@@ -1,7 +1,7 @@
-"""The rules, held against what booking servers and callers saw.  Pure, and knows nothing of the program.
+"""Checks the protocol rules against the record of booking servers and callers.
 
-Every time limit has the protocol's slack, and on top what the stand-ins were late themselves: a time that
-they stamped late is not the proxy's fault.
+Pure functions, independent of the program under test.  Every time limit is extended by the protocol's slack
+and by the event loop's measured lag, since a late timestamp of the simulated peers is not the proxy's fault.
 """
 
 from __future__ import annotations
@@ -10,31 +10,33 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from lab.fleet.records import Asked, Attempt, End, Life, Outcome, Seen
+from lab.fleet.records import CallerSetUp, Attempt, AttemptEnd, ProxyRun, Outcome, DayRecord
 
-SLACK_MS = 50.0  # the protocol's, on every limit
-DOOR_MS = 700.0  # after SIGTERM: what comes later than this may be left to SIGKILL
-KILL_MS = 3700.0  # after SIGTERM the platform may kill
+TIMING_SLACK_MS = 50.0  # the protocol's allowance on every time limit
+SHUTDOWN_ACCEPT_MS = 700.0  # set-ups sent later than this after SIGTERM may stay unanswered
+KILL_AFTER_TERM_MS = 3700.0  # the platform may send SIGKILL this long after SIGTERM
 
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """The figures of the settings, in milliseconds."""
+    """Limits from the proxies' settings."""
 
     drain_grace_ms: float = 2000.0
     release_ms: float = 200.0
-    most_attempts: int = 6
+    max_attempts: int = 6
     cold_from: float = 0.3
     ramp_ms: float = 14_000.0
     fall_multiple: float = 3.0
     fall_ms: float = 1000.0
-    end_ms: float = 1000.0  # what is over is told to its caller within this
-    unheard_ms: float = 8000.0  # or within this, where no release could be sent
-    cold_slack: float = 4.0  # set-ups in a window that are never held against a fleet
+    end_ms: float = 1000.0  # the caller is notified of a call's end within this
+    undelivered_end_ms: float = 8000.0  # the same where the booking server could send no release
+    cold_slack: float = 4.0  # set-ups per window allowed on top of the budget
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class Violation:
+    """A broken rule, with the call it concerns, if any."""
+
     rule: str
     call: str
     text: str
@@ -43,206 +45,229 @@
         return f"{self.rule}: {self.call} {self.text}"
 
 
-def check(seen: Seen, contract: Contract) -> list[Broken]:
-    """Every broken rule, in the order of the rules."""
-    slack_ms = SLACK_MS + seen.late_ms
-    lives = {(life.proxy, life.number): life for life in seen.lives}
-    by_call: dict[str, list[Attempt]] = defaultdict(list)
-    for attempt in seen.attempts:
-        by_call[attempt.call].append(attempt)
-    for attempts in by_call.values():
-        attempts.sort(key=lambda one: one.whole_ms)
-    asked = {one.call: one for one in seen.asked}
+def check(record: DayRecord, contract: Contract) -> list[Violation]:
+    """Return all violations, in the order of the rules."""
+    slack_ms = TIMING_SLACK_MS + record.max_lag_ms
+    runs = {(run.proxy, run.number): run for run in record.runs}
+    attempts_by_call: dict[str, list[Attempt]] = defaultdict(list)
+    for attempt in record.attempts:
+        attempts_by_call[attempt.call].append(attempt)
+    for attempts in attempts_by_call.values():
+        attempts.sort(key=lambda one: one.received_ms)
+    setups = {one.call: one for one in record.setups}
     return [
-        *_lives(seen),
-        *(Broken("foul", "", text) for text in seen.foul),
-        *_outcomes(seen, by_call, lives, slack_ms),
-        *_attempts(seen, by_call, asked, contract, slack_ms),
-        *_drains(seen, contract, slack_ms),
-        *_cold(seen, contract),
-        *_ends(seen, by_call, asked, lives, contract, slack_ms),
+        *_check_runs(record),
+        *(Violation("foul", "", text) for text in record.invalid_messages),
+        *_check_outcomes(record, attempts_by_call, runs, slack_ms),
+        *_check_attempts(record, attempts_by_call, setups, contract, slack_ms),
+        *_check_drains(record, contract, slack_ms),
+        *_check_cold_starts(record, contract),
+        *_check_call_ends(record, attempts_by_call, setups, runs, contract, slack_ms),
     ]
 
 
-def _lives(seen: Seen) -> list[Broken]:
-    """No proxy ends by itself, fails to start, or ends badly after SIGTERM."""
+def _check_runs(record: DayRecord) -> list[Violation]:
+    """No proxy exits unasked, fails to start, or exits with an error after SIGTERM."""
     found = []
-    for life in seen.lives:
-        name = f"proxy {life.proxy}, life {life.number}"
-        if life.ready_ms == math.inf and min(life.term_ms, life.killed_ms) == math.inf:
-            found.append(Broken("crash", "", f"{name} never became ready"))
-        ended_alone = life.ended_ms < math.inf and life.term_ms == life.killed_ms == math.inf
+    for run in record.runs:
+        name = f"proxy {run.proxy}, run {run.number}"
+        if run.ready_ms == math.inf and min(run.term_ms, run.killed_ms) == math.inf:
+            found.append(Violation("crash", "", f"{name} never became ready"))
+        ended_alone = run.ended_ms < math.inf and run.term_ms == run.killed_ms == math.inf
         if ended_alone or (
-            life.term_ms < math.inf and life.status not in (0, None) and life.killed_ms == math.inf
+            run.term_ms < math.inf and run.status not in (0, None) and run.killed_ms == math.inf
         ):
-            found.append(Broken("crash", "", f"{name} ended with status {life.status}"))
+            found.append(Violation("crash", "", f"{name} ended with status {run.status}"))
     return found
 
 
-def excused(one: Asked, life: Life, slack_ms: float) -> bool:
-    """Whether nobody can be held to an outcome of it: the proxy was killed, or stood still at its time."""
-    if life.killed_ms <= one.by_ms + slack_ms and life.killed_ms <= one.told_ms:
-        # What SIGKILL finds unanswered is excused where it came without SIGTERM, or with it in good time.
+def is_excused(one: CallerSetUp, run: ProxyRun, slack_ms: float) -> bool:
+    """Whether a missing outcome is allowed: the proxy was killed, or was stopped at the deadline."""
+    if run.killed_ms <= one.deadline_ms + slack_ms and run.killed_ms <= one.outcome_ms:
+        # SIGKILL excuses unanswered calls if no SIGTERM preceded it, the set-up came after the proxy's
+        # shutdown began refusing, or the kill came before the platform's grace period had passed.
         return (
-            life.term_ms == math.inf
-            or one.asked_ms > life.term_ms + DOOR_MS
-            or (life.killed_ms < life.term_ms + KILL_MS)
+            run.term_ms == math.inf
+            or one.sent_ms > run.term_ms + SHUTDOWN_ACCEPT_MS
+            or (run.killed_ms < run.term_ms + KILL_AFTER_TERM_MS)
         )
-    if one.asked_ms > life.term_ms + DOOR_MS:
+    if one.sent_ms > run.term_ms + SHUTDOWN_ACCEPT_MS:
         return True
     return any(
-        stopped <= one.by_ms and one.by_ms <= went_on + slack_ms + 250.0 for stopped, went_on in life.stalls
+        paused <= one.deadline_ms and one.deadline_ms <= resumed + slack_ms + 250.0
+        for paused, resumed in run.stalls
     )
 
 
-def _outcomes(
-    seen: Seen, by_call: dict[str, list[Attempt]], lives: dict[tuple[int, int], Life], slack_ms: float
-) -> list[Broken]:
-    """Rule 1: one final outcome for each call, in time, and nothing served that no booking server made."""
+def _check_outcomes(
+    record: DayRecord,
+    attempts_by_call: dict[str, list[Attempt]],
+    runs: dict[tuple[int, int], ProxyRun],
+    slack_ms: float,
+) -> list[Violation]:
+    """Rule 1: each call gets exactly one outcome by its deadline, with a description made for it."""
     found = []
-    for one in seen.asked:
-        if one.words > 1:
-            found.append(Broken("lost", one.call, f"was given {one.words} outcomes"))
-        if one.outcome is Outcome.STANDS:
-            made = [a.description for a in by_call.get(one.call, []) if a.end is End.ANSWERED]
+    for one in record.setups:
+        if one.outcome_count > 1:
+            found.append(Violation("lost", one.call, f"was given {one.outcome_count} outcomes"))
+        if one.outcome is Outcome.ESTABLISHED:
+            made = [a.description for a in attempts_by_call.get(one.call, []) if a.end is AttemptEnd.ANSWERED]
             if one.description not in made:
-                found.append(Broken("lost", one.call, "served with what no booking server made for it"))
-        if excused(one, lives[one.proxy, one.life], slack_ms):
+                found.append(
+                    Violation(
+                        "lost", one.call, "answered with a description that no booking server made for it"
+                    )
+                )
+        if is_excused(one, runs[one.proxy, one.run], slack_ms):
             continue
         if one.outcome in (Outcome.NONE, Outcome.LOST):
-            found.append(Broken("lost", one.call, f"outcome {one.outcome.value} at proxy {one.proxy}"))
-        elif one.told_ms > one.by_ms + slack_ms:
-            found.append(Broken("late", one.call, f"told {one.told_ms - one.by_ms:.0f} ms after its time"))
+            found.append(Violation("lost", one.call, f"outcome {one.outcome.value} at proxy {one.proxy}"))
+        elif one.outcome_ms > one.deadline_ms + slack_ms:
+            found.append(
+                Violation(
+                    "late", one.call, f"answered {one.outcome_ms - one.deadline_ms:.0f} ms after its deadline"
+                )
+            )
     return found
 
 
-def _unheard(seen: Seen, before: Attempt, after: Attempt) -> bool:
-    """Whether the proxy may have given the one up before the other, and its word was still on its way; or the
-    other, heard late, was the earlier one."""
+def _is_link_delayed(record: DayRecord, before: Attempt, after: Attempt) -> bool:
+    """Whether a link fault explains an apparent overlap: the release of `before` was still in transit, or
+    `after` was delivered late and was in fact sent first."""
     return any(
         one.proxy == before.proxy
         and one.server in (before.server, after.server)
-        and one.from_ms < after.whole_ms
-        and one.to_ms > min(before.first_ms, after.first_ms)
-        for one in seen.unheard
+        and one.from_ms < after.received_ms
+        and one.to_ms > min(before.first_byte_ms, after.first_byte_ms)
+        for one in record.link_faults
     )
 
 
-def _attempts(
-    seen: Seen,
-    by_call: dict[str, list[Attempt]],
-    asked: dict[str, Asked],
+def _check_attempts(
+    record: DayRecord,
+    attempts_by_call: dict[str, list[Attempt]],
+    setups: dict[str, CallerSetUp],
     contract: Contract,
     slack_ms: float,
-) -> list[Broken]:
-    """Rules 2, 5 and the bound: one attempt at a time, the release awaited, six at most."""
+) -> list[Violation]:
+    """Rules 2 and 5 and the attempt limit: one attempt at a time, resent only after the release time."""
     found = []
-    for call, attempts in by_call.items():
-        if call not in asked:
-            found.append(Broken("foul", call, "a set-up that no caller sent"))
-        if len(attempts) > contract.most_attempts:
-            found.append(Broken("attempts", call, f"{len(attempts)} attempts"))
+    for call, attempts in attempts_by_call.items():
+        if call not in setups:
+            found.append(Violation("foul", call, "a set-up that no caller sent"))
+        if len(attempts) > contract.max_attempts:
+            found.append(Violation("attempts", call, f"{len(attempts)} attempts"))
         for before, after in zip(attempts, attempts[1:], strict=False):
-            # Of one given up the proxy's word counts: its time here is that of its reading, so it can only
-            # be late.  What the booking server ended itself it wrote before the proxy could know.
-            if _unheard(seen, before, after):
+            # The end of a released attempt is the time at which the booking server read the release, so it
+            # can only be late and gets slack.  An end that the booking server sent itself precedes the
+            # proxy's knowledge of it and gets none.
+            if _is_link_delayed(record, before, after):
                 continue
             grace_ms = slack_ms if before.end.may_have_run else 0.0
-            if after.whole_ms < before.end_ms - grace_ms:
+            if after.received_ms < before.end_ms - grace_ms:
                 found.append(
-                    Broken(
+                    Violation(
                         "two attempts",
                         call,
-                        f"at {after.server} while out at {before.server}, which ended "
-                        f"{before.end_ms - after.whole_ms:.0f} ms later ({before.end.value})",
+                        f"at {after.server} while outstanding at {before.server}, which ended "
+                        f"{before.end_ms - after.received_ms:.0f} ms later ({before.end.value})",
                     )
                 )
-            elif before.end is End.GIVEN_UP and (
-                after.first_ms < before.end_ms + contract.release_ms - slack_ms
+            elif before.end is AttemptEnd.RELEASED and (
+                after.first_byte_ms < before.end_ms + contract.release_ms - slack_ms
             ):
-                gap_ms = after.first_ms - before.end_ms
-                found.append(Broken("release", call, f"sent again {gap_ms:.0f} ms after it was given up"))
-            elif before.end is End.CLOSED and (
-                after.first_ms < before.end_ms + contract.release_ms - slack_ms
+                gap_ms = after.first_byte_ms - before.end_ms
+                found.append(Violation("release", call, f"sent again {gap_ms:.0f} ms after it was released"))
+            elif before.end is AttemptEnd.CLOSED and (
+                after.first_byte_ms < before.end_ms + contract.release_ms - slack_ms
             ):
-                gap_ms = after.first_ms - before.end_ms
-                found.append(Broken("release", call, f"sent again {gap_ms:.0f} ms after its reset"))
+                gap_ms = after.first_byte_ms - before.end_ms
+                found.append(Violation("release", call, f"sent again {gap_ms:.0f} ms after its reset"))
     return found
 
 
-def _drains(seen: Seen, contract: Contract, slack_ms: float) -> list[Broken]:
-    """Rule 3: nothing new to a booking server over 2 s after its drain or end was told."""
-    told = defaultdict(list)
-    for one in seen.told:
-        told[one.proxy, one.life, one.server].append(one)
+def _check_drains(record: DayRecord, contract: Contract, slack_ms: float) -> list[Violation]:
+    """Rule 3: no set-up to a booking server after the drain grace that follows its drain or removal."""
+    notices = defaultdict(list)
+    for one in record.drain_notices:
+        notices[one.proxy, one.run, one.server].append(one)
     found = []
-    for attempt in seen.attempts:
-        for one in told.get((attempt.proxy, attempt.life, attempt.server), ()):
-            if one.at_ms + contract.drain_grace_ms + slack_ms < attempt.first_ms < one.back_ms:
-                late_ms = attempt.first_ms - one.at_ms
+    for attempt in record.attempts:
+        for one in notices.get((attempt.proxy, attempt.run, attempt.server), ()):
+            if one.at_ms + contract.drain_grace_ms + slack_ms < attempt.first_byte_ms < one.relisted_ms:
+                since_notice_ms = attempt.first_byte_ms - one.at_ms
                 found.append(
-                    Broken(
+                    Violation(
                         "drain",
                         attempt.call,
-                        f"to {attempt.server} by proxy {attempt.proxy} {late_ms:.0f} ms after it was told",
+                        f"to {attempt.server} by proxy {attempt.proxy} "
+                        f"{since_notice_ms:.0f} ms after the notice",
                     )
                 )
     return found
 
 
-def _cold(seen: Seen, contract: Contract) -> list[Broken]:
-    """Rule 4: all proxies together keep a cold booking server's budget, in every window."""
+def _check_cold_starts(record: DayRecord, contract: Contract) -> list[Violation]:
+    """Rule 4: all proxies together stay within a cold booking server's budget in every window."""
     found = []
-    for cold in seen.colds:
-        sent = sorted(
-            a.first_ms
-            for a in seen.attempts
-            if a.server == cold.server and cold.started_ms <= a.first_ms < cold.started_ms + contract.ramp_ms
+    for cold in record.cold_starts:
+        sent_times_ms = sorted(
+            a.first_byte_ms
+            for a in record.attempts
+            if a.server == cold.server
+            and cold.started_ms <= a.first_byte_ms < cold.started_ms + contract.ramp_ms
         )
-        began = 0
-        for count, at_ms in enumerate(sent, 1):
-            while sent[began] <= at_ms - contract.fall_ms:
-                began += 1
-            warmth = (at_ms - cold.started_ms) / contract.ramp_ms
-            part = contract.cold_from + (1.0 - contract.cold_from) * warmth
-            most = contract.fall_multiple * part * cold.per_s * contract.fall_ms / 1000.0
-            if count - began > most + contract.cold_slack:
-                text = f"{cold.server} was sent {count - began} set-ups in a window, {most:.1f} allowed"
-                found.append(Broken("cold", "", text))
+        window_start = 0
+        for count, at_ms in enumerate(sent_times_ms, 1):
+            while sent_times_ms[window_start] <= at_ms - contract.fall_ms:
+                window_start += 1
+            ramp_share = (at_ms - cold.started_ms) / contract.ramp_ms
+            rate_share = contract.cold_from + (1.0 - contract.cold_from) * ramp_share
+            allowed = contract.fall_multiple * rate_share * cold.per_s * contract.fall_ms / 1000.0
+            if count - window_start > allowed + contract.cold_slack:
+                text = (
+                    f"{cold.server} was sent {count - window_start} set-ups in a window, "
+                    f"{allowed:.1f} allowed"
+                )
+                found.append(Violation("cold", "", text))
                 break
     return found
 
 
-def _ends(
-    seen: Seen,
-    by_call: dict[str, list[Attempt]],
-    asked: dict[str, Asked],
-    lives: dict[tuple[int, int], Life],
+def _check_call_ends(
+    record: DayRecord,
+    attempts_by_call: dict[str, list[Attempt]],
+    setups: dict[str, CallerSetUp],
+    runs: dict[tuple[int, int], ProxyRun],
     contract: Contract,
     slack_ms: float,
-) -> list[Broken]:
-    """What stood and is over is told its caller; what stands for nobody is released."""
+) -> list[Violation]:
+    """Callers are notified of the end of established calls; calls without a caller are released."""
     found = []
-    for call, attempts in by_call.items():
-        one = asked.get(call)
+    for call, attempts in attempts_by_call.items():
+        one = setups.get(call)
         for attempt in attempts:
-            if one is None or attempt.end is not End.ANSWERED:
+            if one is None or attempt.end is not AttemptEnd.ANSWERED:
                 continue
-            life = lives[attempt.proxy, attempt.life]
-            over_ms = min(attempt.ended_ms, attempt.let_go_ms)
-            gone_ms = min(attempt.server_died_ms, over_ms)
-            mine = one.outcome is Outcome.STANDS and one.description == attempt.description
-            due_ms = attempt.end_ms + contract.unheard_ms
-            unheard = gone_ms == math.inf and due_ms < seen.ended_ms
-            if not mine and unheard and min(life.killed_ms, life.term_ms) == math.inf:
-                found.append(Broken("left standing", call, f"at {attempt.server}, for nobody"))
-            if not mine or gone_ms == math.inf:
+            run = runs[attempt.proxy, attempt.run]
+            ended_or_released_ms = min(attempt.ended_ms, attempt.released_ms)
+            over_at_ms = min(attempt.server_died_ms, ended_or_released_ms)
+            is_callers = one.outcome is Outcome.ESTABLISHED and one.description == attempt.description
+            due_ms = attempt.end_ms + contract.undelivered_end_ms
+            not_over = over_at_ms == math.inf and due_ms < record.ended_ms
+            if not is_callers and not_over and min(run.killed_ms, run.term_ms) == math.inf:
+                found.append(Violation("left standing", call, f"at {attempt.server}, without a caller"))
+            if not is_callers or over_at_ms == math.inf:
                 continue
-            within_ms = contract.end_ms if over_ms <= attempt.server_died_ms else contract.unheard_ms
-            by_ms = gone_ms + within_ms + slack_ms
-            stalled = any(began <= by_ms and gone_ms <= went_on for began, went_on in life.stalls)
-            judged_ms = min(life.killed_ms, life.term_ms, seen.ended_ms)
-            if one.over_ms > by_ms and judged_ms > by_ms and not stalled:
-                text = f"over at {attempt.server}, its caller not told within {within_ms:.0f} ms"
-                found.append(Broken("end untold", call, text))
+            within_ms = (
+                contract.end_ms
+                if ended_or_released_ms <= attempt.server_died_ms
+                else contract.undelivered_end_ms
+            )
+            due_ms = over_at_ms + within_ms + slack_ms
+            stalled = any(paused <= due_ms and over_at_ms <= resumed for paused, resumed in run.stalls)
+            checked_until_ms = min(run.killed_ms, run.term_ms, record.ended_ms)
+            if one.end_notified_ms > due_ms and checked_until_ms > due_ms and not stalled:
+                text = f"ended at {attempt.server}, its caller not notified within {within_ms:.0f} ms"
+                found.append(Violation("end untold", call, text))
     return found
--- a/lab/fleet/day.py
+++ b/lab/fleet/day.py
@@ -1,4 +1,4 @@
-"""One day of several processes: starts them, plays the script, has the rules checked, ends what it began."""
+"""Runs one day: starts the proxies, applies the script, checks the rules and stops every process."""
 
 from __future__ import annotations
 
@@ -20,65 +20,67 @@
 
 from lab import world
 from lab.fleet import checker
-from lab.fleet.board import Board
-from lab.fleet.callers import CLASSES, Front, schedule
+from lab.fleet.board import NoticeBoard
+from lab.fleet.callers import CLASSES, CallerGroup, schedule
 from lab.fleet.processes import Process, free_port
-from lab.fleet.records import Life, Outcome, Seen, Unheard
-from lab.fleet.script import Shape, Step, extra_of, script, uid
+from lab.fleet.records import ProxyRun, Outcome, DayRecord, LinkFault
+from lab.fleet.script import Shape, Step, extra_config, script, uid
 from lab.fleet.servers import BookingServer
-from lab.fleet.stage import Stage
-
-READY_MS = 30_000.0  # the platform's own bound, from which on callers come
-LOOK_MS = 20.0  # between looks at the processes
-AFTER_TERM_MS = 3700.0  # the platform kills what has not ended by then
-LONGEST_MS = checker.Contract().unheard_ms  # until the last end is told
-NO_VERDICT_MS = 400.0  # stand-ins later than this can't tell a proxy's fault from their own
-# Deadlines are short so that days are; the rest is the site's.
+from lab.fleet.network import EventLoop
+
+READY_MS = 30_000.0  # the platform's limit on start-up; callers arrive once all proxies are ready
+PROCESS_POLL_INTERVAL_MS = 20.0  # between checks for exited processes
+KILL_AFTER_TERM_MS = 3700.0  # the platform sends SIGKILL this long after SIGTERM
+MAX_CALL_END_WAIT_MS = checker.Contract().undelivered_end_ms  # until the last call end has been notified
+MAX_VERDICT_LAG_MS = 400.0  # with more lag, a proxy's fault can't be told from the test rig's
+# Short deadlines keep the days short; the other values are the site's.
 CONTRACT = world.Contract(aim_ms=(500.0, 375.0), deadline_ms=2250.0, hold_ms=700.0, dear_share=0.22)
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A day to play.  load: share of what all booking servers can do; skew: one proxy in ten gets so many
-    times the others' traffic."""
+    """A day to run.  load: share of the booking servers' total capacity; skew: traffic of every tenth proxy
+    relative to the others."""
 
     name: str
     seed: int
     shape: Shape = field(default_factory=Shape)
     load: float = 0.6
-    per_s: float = 15.0  # what a booking server can do, on average
-    spread: float = 2.0  # of sizes: the largest to the smallest
+    per_s: float = 15.0  # mean capacity of a booking server
+    spread: float = 2.0  # ratio of the largest to the smallest capacity
     skew: float = 3.0
     memory_mb: int = 64
     sockets: int = 256
-    options: tuple[str, ...] = ()  # of `serve`
-    extra: dict[str, Any] = field(default_factory=dict)  # of the configuration
+    options: tuple[str, ...] = ()  # command line options of `serve`
+    extra: dict[str, Any] = field(default_factory=dict)  # additions to the configuration
 
 
 @dataclass(slots=True)
 class Report:
-    """What came of it."""
+    """The result of a day."""
 
     plan: Plan
-    seen: Seen
-    broken: list[checker.Broken]
-    served: float  # worth that stood in time over worth asked for, a caller's further tries counted as one
+    record: DayRecord
+    violations: list[checker.Violation]
+    served: float  # value established in time over value offered, with a caller's redials counted as one call
     by_class: dict[str, float]
     tries: int
     outcomes: Counter[str]
-    attempts: float  # for each try
+    attempts: float  # mean per try
     ready_s: float
     logs: dict[str, str]
 
     @property
     def verdict(self) -> str:
-        if self.broken:
+        """Whether the rules were kept, or why that can't be judged."""
+        if self.violations:
             return "rules broken"
-        if self.seen.late_ms > NO_VERDICT_MS:
-            return f"no verdict: the stand-ins were {self.seen.late_ms:.0f} ms late"
+        if self.record.max_lag_ms > MAX_VERDICT_LAG_MS:
+            return f"no verdict: the stand-ins were {self.record.max_lag_ms:.0f} ms late"
         return "rules kept"
 
     def as_json(self) -> dict[str, Any]:
+        """Return the report as a JSON object."""
         return {
             "day": self.plan.name,
             "seed": self.plan.seed,
@@ -86,31 +88,31 @@
             "servers": self.plan.shape.servers,
             "load": self.plan.load,
             "verdict": self.verdict,
-            "broken": dict(Counter(one.rule for one in self.broken)),
+            "broken": dict(Counter(one.rule for one in self.violations)),
             "served": round(self.served, 4),
             "by_class": {name: round(value, 4) for name, value in self.by_class.items()},
             "tries": self.tries,
             "outcomes": dict(self.outcomes),
             "attempts": round(self.attempts, 4),
-            "connections": self.seen.connections,
-            "late_ms": round(self.seen.late_ms, 1),
+            "connections": self.record.connections,
+            "late_ms": round(self.record.max_lag_ms, 1),
             "ready_s": round(self.ready_s, 2),
-            "busy": round(self.seen.busy, 2),
+            "busy": round(self.record.cpu_share, 2),
         }
 
     def text(self) -> str:
-        """One line for a person."""
-        told = self.as_json()
+        """Return a one-line summary."""
+        result = self.as_json()
         outcomes = ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
         return (
-            f"{told['day']:<6} seed {told['seed']}: {self.verdict}; served {self.served:.3f}, "
+            f"{result['day']:<6} seed {result['seed']}: {self.verdict}; served {self.served:.3f}, "
             f"{self.tries} tries ({outcomes}), {self.attempts:.2f} attempts a try, "
-            f"{told['connections']} connections, stand-ins {told['late_ms']:.0f} ms late at the most, "
-            f"{100 * self.seen.busy:.0f}% of the machine"
+            f"{result['connections']} connections, stand-ins {result['late_ms']:.0f} ms late at the most, "
+            f"{100 * self.record.cpu_share:.0f}% of the machine"
         )
 
     def keep_logs(self, folder: str) -> None:
-        """The processes' logs, under the day's and the seed's name."""
+        """Write the processes' logs to a subfolder named after the day and the seed."""
         kept = Path(folder) / f"{self.plan.name}-{self.plan.seed}"
         kept.mkdir(parents=True, exist_ok=True)
         for name, text in self.logs.items():
@@ -118,19 +120,19 @@
 
 
 class Day:
-    """The parts of one day, put together; everything but play() runs on the stage's thread."""
+    """Assembles and runs one day; everything but play() runs on the event loop's thread."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
-        self.stage, self.seen = Stage(), Seen()
+        self.loop, self.record = EventLoop(), DayRecord()
         shape, rng = plan.shape, random.Random(f"day {plan.seed}")
         count = shape.servers + shape.spares
         sizes = [plan.spread ** rng.uniform(-0.5, 0.5) for _ in range(count)]
         scale = plan.per_s * shape.servers / sum(sizes[: shape.servers])
         self.servers = [
             BookingServer(
-                self.stage,
-                self.seen,
+                self.loop,
+                self.record,
                 uid(n),
                 n if n < shape.servers else n - shape.servers,
                 n % shape.zones,
@@ -144,18 +146,18 @@
         self.listed = set(range(shape.servers))
         for spare in self.servers[shape.servers :]:
             spare.state = "removed"
-        self.lives: dict[int, Life] = {}
+        self.runs: dict[int, ProxyRun] = {}
         self.processes: dict[int, Process] = {}
-        self.boards, self.fronts, self.addresses = [], [], []
+        self.boards, self.caller_groups, self.addresses = [], [], []
         for proxy in range(shape.proxies):
             high, low = divmod(proxy, 250)
             host = f"127.1.{high}.{low + 1}"
             self.addresses.append((host, free_port(host)))
-            self.boards.append(Board(self.stage, self.seen, proxy, host))
-            self.fronts.append(
-                Front(
-                    self.stage,
-                    self.seen,
+            self.boards.append(NoticeBoard(self.loop, self.record, proxy, host))
+            self.caller_groups.append(
+                CallerGroup(
+                    self.loop,
+                    self.record,
                     proxy,
                     self.addresses[-1],
                     (CONTRACT.deadline_ms,) * len(CLASSES),
@@ -163,27 +165,27 @@
                 )
             )
             for n, server in enumerate(self.servers):
-                server.way(
+                server.add_link(
                     proxy,
                     f"127.{2 + n % 200}.{high + 8 * (n // 200)}.{low + 1}",
-                    functools.partial(self._life_of, proxy),
+                    functools.partial(self._current_run, proxy),
                 )
         weights = np.array([plan.skew if n % 10 == 0 else 1.0 for n in range(shape.proxies)])
-        self.bounds = np.cumsum(weights / weights.sum())
+        self.traffic_bounds = np.cumsum(weights / weights.sum())
 
-    def _life_of(self, proxy: int) -> int:
-        """The number of the proxy's present life, 0 before its first."""
-        return self.lives[proxy].number if proxy in self.lives else 0
+    def _current_run(self, proxy: int) -> int:
+        """Return the number of the proxy's current run, 0 before the first."""
+        return self.runs[proxy].number if proxy in self.runs else 0
 
     # -- proxies --------------------------------------------------------------------------------------
-    def table(self, proxy: int) -> dict[str, Any]:
-        """What the platform tells a proxy."""
-        life = self.lives[proxy]
+    def config(self, proxy: int) -> dict[str, Any]:
+        """Return the configuration that the platform gives a proxy."""
+        run = self.runs[proxy]
         shape = self.plan.shape
         host, port = self.addresses[proxy]
-        places = list(range(shape.servers))
-        known = self.boards[proxy].begin(
-            life.number, [s for n, s in enumerate(self.servers) if n in self.listed]
+        pools = list(range(shape.servers))
+        known = self.boards[proxy].start_run(
+            run.number, [s for n, s in enumerate(self.servers) if n in self.listed]
         )
         return (
             {
@@ -191,7 +193,7 @@
                 "listen": f"{host}:{port}",
                 "board": self.boards[proxy].address,
                 "known": known,
-                "seed": f"{random.Random(f'{self.plan.seed} {proxy} {life.number}').getrandbits(64):016x}",
+                "seed": f"{random.Random(f'{self.plan.seed} {proxy} {run.number}').getrandbits(64):016x}",
                 "limits": {"cores": 1.0, "memory_mb": self.plan.memory_mb, "sockets": self.plan.sockets},
                 "settings": {
                     "slot-no": proxy,
@@ -216,7 +218,7 @@
                         "t1": CONTRACT.resend_ms,
                         "topology": "groups",
                         "channels-needed": [1, 1],
-                        "pools-by-class": [places, places],
+                        "pools-by-class": [pools, pools],
                     },
                     "telemetry": {"via": "piggyback", "fields": ["spare", "total"]},
                     "categories": [
@@ -231,90 +233,93 @@
                     ],
                 },
             }
-            | extra_of(self.plan.name, shape)
+            | extra_config(self.plan.name, shape)
             | self.plan.extra
         )
 
     def start(self, proxy: int) -> None:
-        before = self.lives.get(proxy)
-        life = Life(proxy, before.number + 1 if before else 1, self.stage.now_ms)
-        self.lives[proxy] = life
-        self.seen.lives.append(life)
-        self.processes[proxy] = Process(self.folder, f"n{proxy}", self.table(proxy), list(self.plan.options))
-        self.fronts[proxy].await_life(life)
-
-    def look(self) -> None:
-        """What has become of the processes."""
-        for proxy, life in list(self.lives.items()):
-            if life.ended_ms == math.inf and (status := self.processes[proxy].status()) is not None:
-                life.ended_ms, life.status = self.stage.now_ms, status
-                if life.term_ms < math.inf:
+        """Start a new run of a proxy."""
+        before = self.runs.get(proxy)
+        run = ProxyRun(proxy, before.number + 1 if before else 1, self.loop.now_ms)
+        self.runs[proxy] = run
+        self.record.runs.append(run)
+        self.processes[proxy] = Process(self.folder, f"n{proxy}", self.config(proxy), list(self.plan.options))
+        self.caller_groups[proxy].await_run(run)
+
+    def poll_processes(self) -> None:
+        """Record exited processes, and restart those that were terminated."""
+        for proxy, run in list(self.runs.items()):
+            if run.ended_ms == math.inf and (status := self.processes[proxy].status()) is not None:
+                run.ended_ms, run.status = self.loop.now_ms, status
+                if run.term_ms < math.inf:
                     self.start(proxy)
-        self.stage.after(LOOK_MS, self.look)
+        self.loop.after(PROCESS_POLL_INTERVAL_MS, self.poll_processes)
 
-    def kill(self, proxy: int, life: Life) -> None:
-        if self.lives[proxy] is life and life.ended_ms == math.inf:
-            life.killed_ms = min(life.killed_ms, self.stage.now_ms)
+    def kill(self, proxy: int, run: ProxyRun) -> None:
+        """Send SIGKILL if this run is still going on."""
+        if self.runs[proxy] is run and run.ended_ms == math.inf:
+            run.killed_ms = min(run.killed_ms, self.loop.now_ms)
             self.processes[proxy].signal(signal.SIGKILL)
 
     # -- the script -----------------------------------------------------------------------------------
-    def carry_out(self, step: Step) -> None:
+    def apply(self, step: Step) -> None:
+        """Apply a step of the script."""
         proxies = step.proxies or tuple(range(self.plan.shape.proxies))
         servers = step.servers or tuple(range(len(self.servers)))
-        if step.verb in ("dark", "light", "delay", "cut", "lose"):
+        if step.action in ("dark", "light", "delay", "cut", "lose"):
             for server, proxy in ((self.servers[n], proxy) for n in servers for proxy in proxies):
-                way = server.ways[proxy]
-                if step.verb == "dark" or step.verb == "delay" and step.value > 0.0:
-                    self.seen.unheard.append(Unheard(proxy, server.uid, self.stage.now_ms))
-                elif step.verb in ("light", "delay"):
-                    for one in self.seen.unheard:
+                link = server.links[proxy]
+                if step.action == "dark" or step.action == "delay" and step.value > 0.0:
+                    self.record.link_faults.append(LinkFault(proxy, server.uid, self.loop.now_ms))
+                elif step.action in ("light", "delay"):
+                    for one in self.record.link_faults:
                         if (one.proxy, one.server) == (proxy, server.uid):
-                            one.to_ms = min(one.to_ms, self.stage.now_ms + way.delay_ms)
-                match step.verb:
+                            one.to_ms = min(one.to_ms, self.loop.now_ms + link.delay_ms)
+                match step.action:
                     case "dark":
-                        way.darken()
+                        link.partition()
                     case "light":
-                        way.lighten()
+                        link.heal()
                     case "delay":
-                        way.delay_ms = step.value
+                        link.delay_ms = step.value
                     case "cut":
-                        way.cut()
+                        link.reset_connections()
                     case "lose":
-                        way.lost = step.value
+                        link.loss_rate = step.value
         elif step.servers:
-            self._to_servers(step)
+            self._apply_to_servers(step)
         else:
             for proxy in step.proxies:
-                self._to_proxy(step, proxy, self.lives[proxy])
+                self._apply_to_proxy(step, proxy, self.runs[proxy])
 
-    def _to_proxy(self, step: Step, proxy: int, life: Life) -> None:
-        now_ms, process = self.stage.now_ms, self.processes[proxy]
-        match step.verb:
+    def _apply_to_proxy(self, step: Step, proxy: int, run: ProxyRun) -> None:
+        now_ms, process = self.loop.now_ms, self.processes[proxy]
+        match step.action:
             case "kill":
-                self.kill(proxy, life)
+                self.kill(proxy, run)
             case "start":
                 process.end()
-                life.ended_ms = min(life.ended_ms, now_ms)
+                run.ended_ms = min(run.ended_ms, now_ms)
                 self.start(proxy)
-            case "term" if life.ended_ms == math.inf:
-                life.term_ms = now_ms
+            case "term" if run.ended_ms == math.inf:
+                run.term_ms = now_ms
                 process.signal(signal.SIGTERM)
-                self.stage.after(AFTER_TERM_MS, self.kill, proxy, life)
+                self.loop.after(KILL_AFTER_TERM_MS, self.kill, proxy, run)
             case "stop":
-                life.stalls.append((now_ms, math.inf))
+                run.stalls.append((now_ms, math.inf))
                 process.signal(signal.SIGSTOP)
             case "cont":
-                life.stalls[-1] = (life.stalls[-1][0], now_ms)
+                run.stalls[-1] = (run.stalls[-1][0], now_ms)
                 process.signal(signal.SIGCONT)
             case "hold":
                 self.boards[proxy].held = True
             case "show":
-                self.boards[proxy].let_go()
+                self.boards[proxy].release_held()
 
-    def _to_servers(self, step: Step) -> None:
+    def _apply_to_servers(self, step: Step) -> None:
         chosen = [self.servers[n] for n in step.servers]
         for server in chosen:
-            match step.verb:
+            match step.action:
                 case "drain":
                     server.state = "draining"
                 case "die":
@@ -322,116 +327,129 @@
                     if server.state == "draining":
                         server.state = "removed"
                 case "back":
-                    server.come_back()
+                    server.restart()
                 case "add":
-                    server.come_back()
+                    server.restart()
                     server.state = "up"
                 case "slow":
                     server.model.slowness = step.value
                 case "fail":
-                    server.failing = step.value
+                    server.failure_rate = step.value
                 case "hang":
                     server.hung = bool(step.value)
-        if step.verb == "over":
+        if step.action == "over":
             old, new = chosen
             old.state, new.state = "removed", "up"
             new.take_over(old)
-            new.come_back()
-        if step.verb in ("drain", "die", "back", "add", "over"):
+            new.restart()
+        if step.action in ("drain", "die", "back", "add", "over"):
             self.listed |= {n for n in step.servers if self.servers[n].state != "removed"}
             self.listed -= {n for n in step.servers if self.servers[n].state == "removed"}
             for board in self.boards:
-                board.changed(chosen)
+                board.publish(chosen)
 
     # -- the day --------------------------------------------------------------------------------------
     def arrivals(self) -> list[world.Arrival]:
+        """Draw the arrivals of calls."""
         shape = self.plan.shape
         rng = np.random.default_rng(self.plan.seed)
-        shares = rng.dirichlet(np.full(shape.servers, 6.0))  # first choices, by other shares than the sizes
+        shares = rng.dirichlet(np.full(shape.servers, 6.0))  # first choices, independent of capacities
         per_s = self.plan.load * self.plan.per_s * shape.servers
         return world.arrivals(rng, CONTRACT, 0.0, 1000.0 * shape.seconds, per_s, tuple(shares))
 
     def pick(self, chance: float) -> int:
-        return min(int(np.searchsorted(self.bounds, chance)), self.plan.shape.proxies - 1)
+        """Return the proxy for a uniform draw, by share of traffic."""
+        return min(int(np.searchsorted(self.traffic_bounds, chance)), self.plan.shape.proxies - 1)
 
     def play(self) -> Report:
-        thread = threading.Thread(target=self.stage.poller.run, name="stage", daemon=True)
+        """Run the day and return its report."""
+        thread = threading.Thread(target=self.loop.poller.run, name="stage", daemon=True)
         thread.start()
-        began_s, used_s = time.monotonic(), _used()
+        began_s, cpu_before_s = time.monotonic(), _cpu_seconds()
         arrivals = self.arrivals()
         try:
-            self._on_stage(self._start_all)
-            self._wait(lambda: all(life.ready_ms < math.inf for life in self.lives.values()), READY_MS)
+            self._run_on_loop(self._start_all)
+            self._wait(lambda: all(run.ready_ms < math.inf for run in self.runs.values()), READY_MS)
             ready_s = time.monotonic() - began_s
-            self._on_stage(lambda: self._begin(arrivals))
+            self._run_on_loop(lambda: self._begin(arrivals))
             time.sleep(self.plan.shape.seconds + 0.2)
-            self._on_stage(self._close_doors)
-            self._wait(lambda: not any(front.open_now for front in self.fronts), CONTRACT.deadline_ms + 500.0)
-            # What stands comes to its end, and is told, before anything is taken down.
+            self._run_on_loop(self._stop_calls)
+            self._wait(
+                lambda: not any(group.pending_count for group in self.caller_groups),
+                CONTRACT.deadline_ms + 500.0,
+            )
+            # Established calls end, and their callers are notified, before the shutdown.
             self._wait(
                 lambda: (
-                    all(a.over_ms < math.inf for a in self.seen.asked if a.outcome is Outcome.STANDS)
-                    and all(a.end_ms < math.inf for a in self.seen.attempts)
+                    all(
+                        a.end_notified_ms < math.inf
+                        for a in self.record.setups
+                        if a.outcome is Outcome.ESTABLISHED
+                    )
+                    and all(a.end_ms < math.inf for a in self.record.attempts)
                 ),
-                1000.0 + LONGEST_MS,
+                1000.0 + MAX_CALL_END_WAIT_MS,
             )
-            self.seen.ended_ms = self.stage.now_ms
-            self.seen.late_ms, self.seen.late_at_ms = self.stage.late_ms, self.stage.late_at_ms
-            self._on_stage(self._close)
+            self.record.ended_ms = self.loop.now_ms
+            self.record.max_lag_ms, self.record.max_lag_at_ms = self.loop.max_lag_ms, self.loop.max_lag_at_ms
+            self._run_on_loop(self._close)
         finally:
-            self.stage.poller.end()
+            self.loop.poller.end()
             thread.join(10.0)
             for process in self.processes.values():
                 process.end()
-        self.seen.busy = (_used() - used_s) / (time.monotonic() - began_s) / (os.cpu_count() or 1)
-        if self.stage.poller.faults:
+        self.record.cpu_share = (
+            (_cpu_seconds() - cpu_before_s) / (time.monotonic() - began_s) / (os.cpu_count() or 1)
+        )
+        if self.loop.poller.failures:
             raise RuntimeError(
-                f"{len(self.stage.poller.faults)} faults in the stand-ins:\n" + self.stage.poller.faults[0]
+                f"{len(self.loop.poller.failures)} exceptions in the simulated peers:\n"
+                + self.loop.poller.failures[0]
             )
         return self._report(ready_s, arrivals)
 
     def _begin(self, arrivals: list[world.Arrival]) -> None:
-        began_ms = self.stage.now_ms + 200.0
-        self.stage.watch_itself()
-        self.look()
-        schedule(self.stage, arrivals, began_ms, self.fronts, self.pick)
+        began_ms = self.loop.now_ms + 200.0
+        self.loop.measure_lag()
+        self.poll_processes()
+        schedule(self.loop, arrivals, began_ms, self.caller_groups, self.pick)
         for step in script(self.plan.name, self.plan.shape, self.plan.seed):
-            self.stage.poller.call_at(began_ms + step.at_ms, lambda step=step: self.carry_out(step))  # type: ignore[misc]
+            self.loop.poller.call_at(began_ms + step.at_ms, lambda step=step: self.apply(step))  # type: ignore[misc]
 
     def _start_all(self) -> None:
         for proxy in range(self.plan.shape.proxies):
             self.start(proxy)
 
-    def _close_doors(self) -> None:
-        for front in self.fronts:
-            front.close_door()
+    def _stop_calls(self) -> None:
+        for group in self.caller_groups:
+            group.stop_calls()
 
     def _close(self) -> None:
-        for front in self.fronts:
-            front.close()
-        for way in {way for server in self.servers for way in server.ways.values()}:
-            way.end()
+        for group in self.caller_groups:
+            group.close()
+        for link in {link for server in self.servers for link in server.links.values()}:
+            link.close()
 
-    def _on_stage(self, what: Any) -> None:
+    def _run_on_loop(self, callback: Any) -> None:
         done = threading.Event()
 
         def run() -> None:
             try:
-                what()
+                callback()
             finally:
                 done.set()
 
-        self.stage.poller.call_soon(run)
+        self.loop.poller.call_soon(run)
         done.wait(60.0)
 
-    def _wait(self, holds: Any, most_ms: float) -> None:
-        """Until it holds, for so long at the most; what does not hold then shows in the check."""
-        by_s = time.monotonic() + most_ms / 1000.0
-        while time.monotonic() < by_s and not holds():
+    def _wait(self, condition: Any, timeout_ms: float) -> None:
+        """Wait until the condition holds or the time is up; the checker reports what is missing then."""
+        by_s = time.monotonic() + timeout_ms / 1000.0
+        while time.monotonic() < by_s and not condition():
             time.sleep(0.02)
 
     def _report(self, ready_s: float, arrivals: list[world.Arrival]) -> Report:
-        seen = self.seen
+        record = self.record
         limits = checker.Contract(
             CONTRACT.drain_grace_ms,
             CONTRACT.release_ms,
@@ -441,40 +459,44 @@
             CONTRACT.fall_multiple,
             CONTRACT.fall_ms,
         )
-        broken = checker.check(seen, limits)
+        violations = checker.check(record, limits)
         offered: Counter[str] = Counter()
         for arrival in arrivals:
             offered[CLASSES[arrival.kind]] += 1
-        stood: Counter[str] = Counter()
-        for one in seen.asked:
+        in_time: Counter[str] = Counter()
+        for one in record.setups:
             aim_ms = CONTRACT.aim_ms[CLASSES.index(one.kind)]
-            if one.outcome is Outcome.STANDS and not one.cut and one.told_ms - one.asked_ms <= aim_ms:
-                stood[one.kind] += 1
-        by_class = {name: min(1.0, stood[name] / offered[name]) for name in CLASSES if offered[name]}
+            if (
+                one.outcome is Outcome.ESTABLISHED
+                and not one.interrupted
+                and one.outcome_ms - one.sent_ms <= aim_ms
+            ):
+                in_time[one.kind] += 1
+        by_class = {name: min(1.0, in_time[name] / offered[name]) for name in CLASSES if offered[name]}
         worth = {name: CONTRACT.worth[n] * offered[name] for n, name in enumerate(CLASSES)}
         served = sum(by_class[name] * worth[name] for name in by_class) / max(1.0, sum(worth.values()))
         logs = {name.name: name.read_text(errors="replace") for name in sorted(self.folder.glob("*.log"))}
         return Report(
             self.plan,
-            seen,
-            broken,
+            record,
+            violations,
             served,
             by_class,
-            len(seen.asked),
-            Counter(one.outcome.value for one in seen.asked),
-            len(seen.attempts) / max(1, len(seen.asked)),
+            len(record.setups),
+            Counter(one.outcome.value for one in record.setups),
+            len(record.attempts) / max(1, len(record.setups)),
             ready_s,
             logs,
         )
 
 
-def _used() -> float:
-    """Processor seconds of this process and of those it started that have ended."""
+def _cpu_seconds() -> float:
+    """Return the CPU seconds of this process and of its reaped children."""
     both = [resource.getrusage(who) for who in (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)]
     return sum(one.ru_utime + one.ru_stime for one in both)
 
 
 def play(plan: Plan) -> Report:
-    """Play the day in a folder of its own."""
+    """Run the day in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         return Day(plan, Path(folder)).play()
--- a/lab/fleet/processes.py
+++ b/lab/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the program: started, stopped, let go on and killed by the day, and none but its own."""
+"""Starts, signals and stops processes of the program; only those started here are touched."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 def free_port(host: str) -> int:
-    """A port of this address that nobody uses; the address is the caller's alone."""
+    """Return a free port of this address, which must not be shared with other users."""
     with socket.socket() as sock:
         sock.bind((host, 0))
         return int(sock.getsockname()[1])
 
 
 class Process:
-    """One start of `serve`; module: what Python runs for it, with its first arguments."""
+    """A running `serve` process; `module` is the Python module to run and its first arguments."""
 
     def __init__(
         self,
@@ -55,6 +55,7 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal if the process still runs."""
         if self._popen.poll() is None:
             self._popen.send_signal(number)
 
@@ -63,15 +64,15 @@
         return self._popen.pid
 
     def status(self) -> int | None:
-        """The exit status, None while it runs."""
+        """Return the exit status, or None while the process runs."""
         return self._popen.poll()
 
     def wait(self, seconds: float) -> None:
-        """Until it has ended by itself; subprocess.TimeoutExpired where it has not by then."""
+        """Wait for the process to exit; raises subprocess.TimeoutExpired after the given time."""
         self._popen.wait(seconds)
 
     def end(self) -> None:
-        """Whatever it does: it is gone afterwards."""
+        """Kill the process, even a stopped one, and reap it."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         self._popen.wait()
--- a/lab/fleet/script.py
+++ b/lab/fleet/script.py
@@ -1,4 +1,4 @@
-"""What befalls a fleet, as a list of steps drawn from a seed.  Pure."""
+"""Fault scripts: the steps of each day, drawn from a seed.  Pure functions."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """The size of a day.  Zones: proxies and booking servers are dealt out to them in turn."""
+    """The size of a day.  Proxies and booking servers are assigned to zones round-robin."""
 
     proxies: int = 8
     servers: int = 4
     zones: int = 2
-    spares: int = 2  # booking servers that come up only when the script has them
+    spares: int = 2  # booking servers that only start when the script adds them
     seconds: float = 8.0
 
     def zone_proxies(self, zone: int) -> tuple[int, ...]:
@@ -29,27 +29,29 @@
 
 
 def uid(server: int) -> str:
-    """A booking server's name."""
+    """Return a booking server's uid."""
     return f"s-{server:04x}"
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """At this time (ms from the first call) this befalls these.
+    """An action on proxies, booking servers or links at a time in ms from the first call.
 
-    Proxies: kill, term, start, stop, cont, hold and show (their list).  Booking servers: drain, die, back,
-    slow, fail, hang, over (the last server takes over the first one's addresses), add.  Ways between the two:
-    dark, light, delay, cut, lose; no proxies or no servers named: all.
+    Proxies: kill, term, start, stop, cont, hold and show (queue and publish server list updates).  Booking
+    servers: drain, die, back (restart), slow, fail, hang, add, over (the last server takes over the first
+    one's addresses).  Links: dark (partition), light (heal), delay, cut (reset), lose; links of all proxies
+    or all servers if none are named.
     """
 
     at_ms: float
-    verb: str
+    action: str
     proxies: tuple[int, ...] = ()
     servers: tuple[int, ...] = ()
     value: float = 0.0
 
 
 def calm(shape: Shape, rng: random.Random) -> list[Step]:
+    """No faults."""
     return []
 
 
@@ -74,7 +76,7 @@
 
 
 def herd(shape: Shape, rng: random.Random) -> list[Step]:
-    """One booking server of eight fails fast; seven proxies of ten are killed at once and come back."""
+    """An eighth of the booking servers fail fast; 70% of the proxies are killed at once and restarted."""
     bad = tuple(rng.sample(range(shape.servers), max(1, shape.servers // 8)))
     killed = tuple(sorted(rng.sample(range(shape.proxies), math.ceil(0.7 * shape.proxies))))
     at_ms = 300.0 * shape.seconds
@@ -87,7 +89,7 @@
 
 
 def stall(shape: Shape, rng: random.Random) -> list[Step]:
-    """One proxy stands still for 3 s in the middle of calls; a booking server drains and ends meanwhile."""
+    """One proxy is stopped for 3 s during calls; a booking server drains meanwhile and dies later."""
     one = rng.randrange(shape.proxies)
     server = rng.randrange(shape.servers)
     at_ms = 200.0 * shape.seconds
@@ -100,7 +102,7 @@
 
 
 def late(shape: Shape, rng: random.Random) -> list[Step]:
-    """The list is held back for half of the proxies; one booking server drains, another starts cold."""
+    """Half of the proxies get list updates late; one booking server drains, another starts cold."""
     half = tuple(sorted(rng.sample(range(shape.proxies), shape.proxies // 2)))
     server = rng.randrange(shape.servers)
     at_ms = 150.0 * shape.seconds
@@ -114,7 +116,7 @@
 
 
 def zone(shape: Shape, rng: random.Random) -> list[Step]:
-    """A zone's booking servers are lost without a sign and return cold; another zone is cut off."""
+    """A zone's booking servers vanish silently and return cold; another zone is partitioned."""
     lost, cut = rng.sample(range(shape.zones), 2) if shape.zones > 1 else (0, 0)
     servers = shape.zone_servers(lost)
     at_ms = 150.0 * shape.seconds
@@ -150,7 +152,7 @@
 
 
 def join(shape: Shape, rng: random.Random) -> list[Step]:
-    """Booking servers die with calls standing, and new ones take their addresses over at once."""
+    """Booking servers die with established calls, and new ones take over their addresses within 300 ms."""
     steps: list[Step] = []
     gone = rng.sample(range(shape.servers), min(shape.spares, max(1, int(0.6 * shape.servers))))
     for n, server in enumerate(gone):
@@ -163,8 +165,8 @@
 
 
 def cold(shape: Shape, rng: random.Random) -> list[Step]:
-    """All booking servers drain for new ones that have just started; seven proxies of ten are killed and come
-    back meanwhile."""
+    """All booking servers drain in favour of newly started ones; 70% of the proxies are killed and restarted
+    meanwhile."""
     at_ms = 250.0 * shape.seconds
     old, new = range(shape.servers), range(shape.servers, shape.servers + shape.spares)
     killed = tuple(sorted(rng.sample(range(shape.proxies), math.ceil(0.7 * shape.proxies))))
@@ -178,8 +180,8 @@
 
 
 def subset(shape: Shape, rng: random.Random) -> list[Step]:
-    """Proxies with subsets: a zone is cut off, one proxy stands still, a third of the booking servers are
-    replaced, and at last every member of one proxy's subset drains in the same second."""
+    """Proxies with subsets: a zone is partitioned, one proxy is stopped, a third of the booking servers are
+    replaced, and finally every member of one proxy's subset drains within a second."""
     length_ms = 1000.0 * shape.seconds
     lost, one = rng.randrange(shape.zones), rng.randrange(shape.proxies)
     steps = [
@@ -205,12 +207,12 @@
 
 
 def subset_size(shape: Shape) -> int:
-    """Members that a proxy has on the day `subset`."""
+    """Return the subset size of each proxy on the day `subset`."""
     return max(4, shape.servers // 4)
 
 
-def extra_of(name: str, shape: Shape) -> dict[str, Any]:
-    """What a day's processes have in their configuration beside what the platform tells."""
+def extra_config(name: str, shape: Shape) -> dict[str, Any]:
+    """Return the day's additions to the proxies' configuration."""
     return {"subset": {"size": subset_size(shape)}} if name == "subset" else {}
 
 
@@ -220,4 +222,5 @@
 
 
 def script(name: str, shape: Shape, seed: int) -> list[Step]:
+    """Return a day's steps in order of time."""
     return sorted(SCRIPTS[name](shape, random.Random(f"{name} {seed}")), key=lambda step: step.at_ms)
--- a/lab/fleet/servers.py
+++ b/lab/fleet/servers.py
@@ -1,4 +1,4 @@
-"""Scripted booking servers: lab's processor on real sockets, with a list state and faults of their own."""
+"""Simulated booking servers: the lab's processor model on real sockets, with a list state and faults."""
 
 from __future__ import annotations
 
@@ -8,256 +8,278 @@
 from dataclasses import dataclass
 from typing import Any
 
-from capershelf import interface as api
+from capershelf import interface
 from lab import world
-from lab.fleet.records import Attempt, Cold, End, Seen
-from lab.fleet.stage import Passage, Stage, Way
+from lab.fleet.records import Attempt, ColdStart, AttemptEnd, DayRecord
+from lab.fleet.network import LinkConnection, EventLoop, Link
 
-STATE_MS = 300.0  # between two states told unasked,
-STATES_TO = 4  # on so many of the open connections
-CAUSES = {api.Result.FULL: (34, End.REFUSED), api.Result.ERROR: (17, End.FAILED)}
-NOTES = {api.RefusalReason.NO_LINE: "atb", api.RefusalReason.PROCESSOR_FULL: "acc"}
+REPORT_INTERVAL_MS = 300.0  # between two unsolicited load reports
+REPORT_CONNECTIONS = 4  # open connections that each report is sent on
+CAUSES = {interface.Result.FULL: (34, AttemptEnd.REFUSED), interface.Result.ERROR: (17, AttemptEnd.FAILED)}
+REASON_NOTES = {interface.RefusalReason.NO_LINE: "atb", interface.RefusalReason.PROCESSOR_FULL: "acc"}
 
 
-def line_of(kind: str, call: str, **more: Any) -> bytes:
+def encode_message(kind: str, call: str, **more: Any) -> bytes:
+    """Return a message as a JSON line."""
     return json.dumps({"type": kind, "id": call, "fields": {}} | more).encode() + b"\n"
 
 
 @dataclass(slots=True)
-class Held:
-    """A set-up that a booking server works on, or a call that stands there."""
+class HeldSetUp:
+    """A set-up that a booking server is processing, or an established call."""
 
     attempt: Attempt
     setup: world.SetUp
-    passage: Passage
-    heard: bool = False  # its answer was taken for the proxy
+    connection: LinkConnection
+    answer_sent: bool = False  # the answer was written to an open connection
 
 
 class BookingServer:
-    """One booking server: a listener for each proxy, and lab's processor behind them all."""
+    """One booking server: a listener for each proxy in front of one processor model."""
 
     def __init__(
         self,
-        stage: Stage,
-        seen: Seen,
+        loop: EventLoop,
+        record: DayRecord,
         uid: str,
-        place: int,
+        pool: int,
         zone: int,
         per_s: float,
         lines: int,
         contract: world.Contract,
         rng: random.Random,
     ) -> None:
-        self.stage, self.seen, self.uid, self.place = stage, seen, uid, place
+        self.loop, self.record, self.uid, self.pool = loop, record, uid, pool
         self.zone, self.per_s = zone, per_s
-        self.state = "up"  # as the list has it
+        self.state = "up"  # on the notice board
         self.boot_ms = 0
-        self.failing = 0.0  # share of its set-ups that it fails at once
-        self.hung = False  # its machine answers nothing, though connections stay
+        self.failure_rate = 0.0  # share of set-ups that fail immediately
+        self.hung = False  # no message is answered, but connections stay open
         self.alive = True
-        self.ways: dict[int, Way] = {}
+        self.links: dict[int, Link] = {}
         self._rng = rng
-        self._passages: list[Passage] = []
-        self._held: dict[str, Held] = {}
-        self._untold: list[Held] = []  # ends for which no connection was there
+        self._connections: list[LinkConnection] = []
+        self._held: dict[str, HeldSetUp] = {}
+        self._undelivered_ends: list[HeldSetUp] = []  # call ends for which no connection was open
         self.model = world.Server(
-            stage, contract, uid, place, per_s, lines, lambda: rng.expovariate(1.0 / contract.hold_ms)
+            loop, contract, uid, pool, per_s, lines, lambda: rng.expovariate(1.0 / contract.hold_ms)
         )
-        self._life = 0
+        self._generation = 0
         self.start()
 
-    def way(self, proxy: int, host: str, life_of: Callable[[], int]) -> Way:
-        """The way of this proxy, with an address of its own."""
-        way = Way(self.stage, host, proxy, self._rng.random, life_of, self.arrivals(life_of))
-        self.ways[proxy] = way
-        return way
+    def add_link(self, proxy: int, host: str, current_run: Callable[[], int]) -> Link:
+        """Create the link to this proxy, with its own address."""
+        link = Link(
+            self.loop, host, proxy, self._rng.random, current_run, self.connection_handler(current_run)
+        )
+        self.links[proxy] = link
+        return link
 
-    def arrivals(self, life_of: Callable[[], int]) -> Callable[[Passage], None]:
-        """What takes this server's connections in."""
+    def connection_handler(self, current_run: Callable[[], int]) -> Callable[[LinkConnection], None]:
+        """Return the handler for new connections on a link."""
 
-        def arrived(passage: Passage) -> None:
-            passage.life = life_of()
-            self._arrived(passage)
+        def on_connection(connection: LinkConnection) -> None:
+            connection.run = current_run()
+            self._on_connection(connection)
 
-        return arrived
+        return on_connection
 
-    # -- its process ----------------------------------------------------------------------------------
+    # -- process lifecycle ----------------------------------------------------------------------------
     def start(self) -> None:
-        self._life += 1
-        self.stage.after(STATE_MS * self._rng.random(), self._tell_state, self._life)
+        """Start sending load reports."""
+        self._generation += 1
+        self.loop.after(REPORT_INTERVAL_MS * self._rng.random(), self._send_report, self._generation)
 
     def die(self) -> None:
-        """The process ends at once: connections are reset, calls cut, nobody listens."""
+        """End the process: connections are reset, calls are interrupted and listeners closed."""
         self.alive = False
-        self._life += 1
-        now_ms = self.stage.now_ms
+        self._generation += 1
+        now_ms = self.loop.now_ms
         for held in self._held.values():
             held.setup.over = True
-            if held.attempt.end is End.OPEN:
-                held.attempt.end, held.attempt.end_ms = End.CLOSED, now_ms
+            if held.attempt.end is AttemptEnd.OPEN:
+                held.attempt.end, held.attempt.end_ms = AttemptEnd.CLOSED, now_ms
             else:
                 held.attempt.server_died_ms = now_ms
         self._held.clear()
-        self._untold.clear()
-        for way in self.ways.values():
-            way.cut()
-            way.shut()
+        self._undelivered_ends.clear()
+        for link in self.links.values():
+            link.reset_connections()
+            link.stop_listening()
 
-    def come_back(self, cold: bool = True) -> None:
-        """A new process at the old addresses, cold as any that has just started."""
+    def restart(self, cold: bool = True) -> None:
+        """Start a new process at the old addresses, cold by default."""
         self.alive = True
         old = self.model
         self.model = world.Server(
-            self.stage, old.contract, self.uid, self.place, self.per_s, old.lines, old.hold
+            self.loop, old.contract, self.uid, self.pool, self.per_s, old.lines, old.hold
         )
         if cold:
-            self.model.started_ms = self.stage.now_ms
-            self.boot_ms = int(self.stage.now_ms)
-            self.seen.colds.append(Cold(self.uid, self.stage.now_ms, self.per_s))
-        for way in self.ways.values():
-            way.listen()
+            self.model.started_ms = self.loop.now_ms
+            self.boot_ms = int(self.loop.now_ms)
+            self.record.cold_starts.append(ColdStart(self.uid, self.loop.now_ms, self.per_s))
+        for link in self.links.values():
+            link.listen()
         self.start()
 
     def take_over(self, old: BookingServer) -> None:
-        """Listen at the addresses of one that has gone."""
-        for proxy, way in old.ways.items():
-            self.ways[proxy] = way
-            way.listen(self.arrivals(way.life_of))
+        """Listen at the addresses of a booking server that has died."""
+        for proxy, link in old.links.items():
+            self.links[proxy] = link
+            link.listen(self.connection_handler(link.current_run))
 
     # -- connections ----------------------------------------------------------------------------------
-    def _arrived(self, passage: Passage) -> None:
-        self.seen.connections += 1
-        self._passages.append(passage)
-        passage.came = lambda line, first_ms, read_ms: self._line(passage, line, first_ms, read_ms)
-        passage.ended = lambda at_ms: self._over(passage, at_ms)
-        passage.say(self._state())
-        mine = [held for held in self._untold if held.attempt.proxy == passage.way.proxy]
-        self._untold = [held for held in self._untold if held.attempt.proxy != passage.way.proxy]
+    def _on_connection(self, connection: LinkConnection) -> None:
+        self.record.connections += 1
+        self._connections.append(connection)
+        connection.on_line = lambda line, first_byte_ms, read_ms: self._on_line(
+            connection, line, first_byte_ms, read_ms
+        )
+        connection.on_closed = lambda at_ms: self._on_disconnect(connection, at_ms)
+        connection.send(self._report())
+        mine = [held for held in self._undelivered_ends if held.attempt.proxy == connection.link.proxy]
+        self._undelivered_ends = [
+            held for held in self._undelivered_ends if held.attempt.proxy != connection.link.proxy
+        ]
         for held in mine:
-            self._tell_end(held, passage)
+            self._send_call_end(held, connection)
 
-    def _over(self, passage: Passage, at_ms: float) -> None:
-        """The set-ups open on it are given up, those too whose answer got lost or was on its way: for the
-        proxy they are open.  What stands lives on."""
-        if passage in self._passages:
-            self._passages.remove(passage)
+    def _on_disconnect(self, connection: LinkConnection, at_ms: float) -> None:
+        """Abandon the connection's set-ups, including those whose answer was lost or in transit, since they
+        are still open for the proxy.  Established calls go on."""
+        if connection in self._connections:
+            self._connections.remove(connection)
         for call, held in list(self._held.items()):
-            if held.passage is passage and not (held.setup.stands and held.heard):
-                self._give_up(call, held, End.CLOSED, at_ms)
+            if held.connection is connection and not (held.setup.stands and held.answer_sent):
+                self._abandon(call, held, AttemptEnd.CLOSED, at_ms)
 
-    def _give_up(self, call: str, held: Held, how: End, at_ms: float) -> None:
+    def _abandon(self, call: str, held: HeldSetUp, how: AttemptEnd, at_ms: float) -> None:
         held.attempt.end, held.attempt.end_ms = how, at_ms
         self.model.give_up(held.setup)
         del self._held[call]
 
-    def _load(self) -> str:
-        told = self.model.report()
-        return f"spare:{told.free_lines:.0f};total:{told.lines:.0f}"
+    def _load_field(self) -> str:
+        report = self.model.report()
+        return f"spare:{report.free_lines:.0f};total:{report.lines:.0f}"
 
-    def _state(self) -> bytes:
-        return line_of("state", "0" * 16, fields={"load": self._load()})
+    def _report(self) -> bytes:
+        return encode_message("state", "0" * 16, fields={"load": self._load_field()})
 
-    def _tell_state(self, life: int) -> None:
-        if life != self._life:
+    def _send_report(self, generation: int) -> None:
+        if generation != self._generation:
             return
-        for passage in [one for one in self._passages if one.open][:STATES_TO] if not self.hung else ():
-            passage.say(self._state())
-        self.stage.after(STATE_MS, self._tell_state, life)
-
-    # -- what proxies say -----------------------------------------------------------------------------
-    def _line(self, passage: Passage, line: bytes, first_ms: float, read_ms: float) -> None:
+        for connection in (
+            [one for one in self._connections if one.open][:REPORT_CONNECTIONS] if not self.hung else ()
+        ):
+            connection.send(self._report())
+        self.loop.after(REPORT_INTERVAL_MS, self._send_report, generation)
+
+    # -- messages from proxies ------------------------------------------------------------------------
+    def _on_line(self, connection: LinkConnection, line: bytes, first_byte_ms: float, read_ms: float) -> None:
         try:
             message = json.loads(line)
             kind, call = message["type"], message["id"]
         except (ValueError, KeyError, TypeError):
-            self.seen.foul.append(f"to {self.uid}: {line[:80]!r}")
+            self.record.invalid_messages.append(f"to {self.uid}: {line[:80]!r}")
             return
         if kind == "setup":
-            self._set_up(passage, call, first_ms)
+            self._set_up(connection, call, first_byte_ms)
         elif kind == "release":
-            self._release(passage, call, read_ms)
+            self._release(connection, call, read_ms)
         elif kind == "ping" and not self.hung:
-            passage.say(line_of("pong", call, cause=1, fields={"load": self._load()}))
+            connection.send(encode_message("pong", call, cause=1, fields={"load": self._load_field()}))
 
-    def _set_up(self, passage: Passage, call: str, first_ms: float) -> None:
-        attempt = Attempt(call, self.uid, passage.way.proxy, passage.life, first_ms, self.stage.now_ms)
-        self.seen.attempts.append(attempt)
+    def _set_up(self, connection: LinkConnection, call: str, first_byte_ms: float) -> None:
+        attempt = Attempt(
+            call, self.uid, connection.link.proxy, connection.run, first_byte_ms, self.loop.now_ms
+        )
+        self.record.attempts.append(attempt)
         if call in self._held:
-            self.seen.foul.append(f"to {self.uid}: {call} is out or stands there already")
+            self.record.invalid_messages.append(
+                f"to {self.uid}: {call} is outstanding or established there already"
+            )
             return
-        attempt.description = f"made at {self.uid} for {call}, {len(self.seen.attempts)}\r\n"
+        attempt.description = f"made at {self.uid} for {call}, {len(self.record.attempts)}\r\n"
         setup = world.SetUp(
             int(call, 16),
-            lambda result, why, report: self._tell(call, result, why, setup),
-            lambda report: self._end(call, setup),
+            lambda result, reason, report: self._setup_finished(call, result, reason, setup),
+            lambda report: self._call_ended(call, setup),
         )
-        self._held[call] = Held(attempt, setup, passage)
+        self._held[call] = HeldSetUp(attempt, setup, connection)
         if self.hung:
             return
-        if self.failing > 0.0 and self._rng.random() < self.failing:
-            self._tell(call, api.Result.ERROR, api.RefusalReason.UNSPECIFIED, setup)
+        if self.failure_rate > 0.0 and self._rng.random() < self.failure_rate:
+            self._setup_finished(call, interface.Result.ERROR, interface.RefusalReason.UNSPECIFIED, setup)
             return
         self.model.set_up(setup)
 
-    def _release(self, passage: Passage, call: str, read_ms: float) -> None:
+    def _release(self, connection: LinkConnection, call: str, read_ms: float) -> None:
         if (held := self._held.get(call)) is None:
             return
         if held.setup.stands:
-            held.attempt.let_go_ms = read_ms
+            held.attempt.released_ms = read_ms
             held.setup.over = True
             self.model.setups.pop(held.setup.call, None)
             self.model.taken -= 1
             self.model.work(world.RELEASE_PART, lambda: None)
             del self._held[call]
         else:
-            # Given up when the proxy wrote it, as far as that can be seen from here.
-            self._give_up(call, held, End.GIVEN_UP, read_ms)
+            # The read time is the closest known to when the proxy wrote the release.
+            self._abandon(call, held, AttemptEnd.RELEASED, read_ms)
         if not self.hung:
-            passage.say(line_of("released", call))
+            connection.send(encode_message("released", call))
 
-    # -- what the processor says ----------------------------------------------------------------------
-    def _tell(self, call: str, result: api.Result, why: api.RefusalReason, setup: world.SetUp) -> None:
-        """The end of a set-up."""
+    # -- results of the processor model ---------------------------------------------------------------
+    def _setup_finished(
+        self, call: str, result: interface.Result, reason: interface.RefusalReason, setup: world.SetUp
+    ) -> None:
+        """Record and send the result of a set-up."""
         held = self._held.get(call)
         if held is None or held.setup is not setup:
             return
         attempt = held.attempt
-        attempt.end_ms = self.stage.now_ms
-        if result is api.Result.OK:
-            attempt.end = End.ANSWERED
-            data = line_of("answer", call, sdp=attempt.description, fields={"load": self._load()})
+        attempt.end_ms = self.loop.now_ms
+        if result is interface.Result.OK:
+            attempt.end = AttemptEnd.ANSWERED
+            data = encode_message(
+                "answer", call, sdp=attempt.description, fields={"load": self._load_field()}
+            )
         else:
             cause, attempt.end = CAUSES[result]
             setup.over = True
             del self._held[call]
-            fields = {"load": self._load()} | ({"note": NOTES[why]} if why in NOTES else {})
-            data = line_of("release", call, cause=cause, fields=fields)
+            fields = {"load": self._load_field()} | (
+                {"note": REASON_NOTES[reason]} if reason in REASON_NOTES else {}
+            )
+            data = encode_message("release", call, cause=cause, fields=fields)
 
         def done(taken: bool) -> None:
-            held.heard = taken
+            held.answer_sent = taken
 
-        held.passage.say(data, done, may_lose=True)
+        held.connection.send(data, done, droppable=True)
 
-    def _end(self, call: str, setup: world.SetUp) -> None:
-        """What stood has come to its end: told on its connection, on any open one, or on the next."""
+    def _call_ended(self, call: str, setup: world.SetUp) -> None:
+        """An established call has ended; notify the proxy."""
         held = self._held.get(call)
         if held is None or held.setup is not setup or self.hung:
             return
         del self._held[call]
-        self._tell_end(held, held.passage)
-
-    def _tell_end(self, held: Held, passage: Passage) -> None:
-        """On this connection, on any open one, or on the next."""
-        others = [one for one in self._passages if one.way.proxy == held.attempt.proxy and one.open]
-        told = passage if passage.open else next(iter(others), None)
-        if told is None:
-            self._untold.append(held)
+        self._send_call_end(held, held.connection)
+
+    def _send_call_end(self, held: HeldSetUp, connection: LinkConnection) -> None:
+        """Send the end of a call on this connection, on any open one, or on the next one opened."""
+        others = [one for one in self._connections if one.link.proxy == held.attempt.proxy and one.open]
+        target = connection if connection.open else next(iter(others), None)
+        if target is None:
+            self._undelivered_ends.append(held)
             return
 
         def done(taken: bool) -> None:
             if taken:
-                held.attempt.ended_ms = self.stage.now_ms
+                held.attempt.ended_ms = self.loop.now_ms
             elif self.alive:
-                self._untold.append(held)
+                self._undelivered_ends.append(held)
 
-        told.say(line_of("release", held.attempt.call, cause=16, fields={"load": self._load()}), done)
+        target.send(
+            encode_message("release", held.attempt.call, cause=16, fields={"load": self._load_field()}), done
+        )
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -1,4 +1,4 @@
-"""Several processes of the program with faults between them, and the check that they are held against."""
+"""Runs days of several proxies with injected faults, and tests the checker of the protocol rules."""
 
 from __future__ import annotations
 
@@ -12,166 +12,201 @@
 import pytest
 
 from lab.fleet.checker import Contract, check
-from lab.fleet.records import Asked, Attempt, Cold, End, Life, Outcome, Seen, Told, Unheard
+from lab.fleet.records import (
+    CallerSetUp,
+    Attempt,
+    ColdStart,
+    AttemptEnd,
+    ProxyRun,
+    Outcome,
+    DayRecord,
+    DrainNotice,
+    LinkFault,
+)
 from lab.fleet.script import SCRIPTS, Shape, script
 
 ROOT = Path(__file__).parent.parent
 DAYS = ("roll", "herd", "stall", "late", "zone", "split", "join", "cold", "subset", "cold-subset")
 COLD_PROXIES, SUBSET_SERVERS = 30, 16
 COLD_SUBSET = ["--servers", "12", "--spares", "6", "--zones", "3", "--load", "0.3", "--subset", "4"]
-WORDS = {
+DAY_OPTIONS = {
     "cold": ["--proxies", str(COLD_PROXIES)],
     "cold-subset": ["--proxies", str(COLD_PROXIES), *COLD_SUBSET],
     "subset": ["--servers", str(SUBSET_SERVERS), "--spares", "5", "--zones", "3", "--load", "0.4"],
 }
-AT_ONCE = 4  # days side by side: each waits more than it works
+PARALLEL_DAYS = 4  # each day mostly waits, so several run in parallel
 
 
 @pytest.fixture(scope="module")
 def days() -> dict[str, Future[subprocess.CompletedProcess[str]]]:
     def play(name: str) -> subprocess.CompletedProcess[str]:
-        words = [sys.executable, "-m", "lab", "fleet", name.partition("-")[0], "--seconds", "7", "--json"]
-        words += WORDS.get(name, [])
-        return subprocess.run(words, cwd=ROOT, capture_output=True, text=True, timeout=240, check=False)
-
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+        outcome_count = [
+            sys.executable,
+            "-m",
+            "lab",
+            "fleet",
+            name.partition("-")[0],
+            "--seconds",
+            "7",
+            "--json",
+        ]
+        outcome_count += DAY_OPTIONS.get(name, [])
+        return subprocess.run(
+            outcome_count, cwd=ROOT, capture_output=True, text=True, timeout=240, check=False
+        )
+
+    with ThreadPoolExecutor(PARALLEL_DAYS) as pool:
         return {name: pool.submit(play, name) for name in DAYS}
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_processes_keep_every_rule_through_a_days_faults(
+def test_proxies_keep_every_rule_under_injected_faults(
     days: dict[str, Future[subprocess.CompletedProcess[str]]], name: str
 ) -> None:
     played = days[name].result()
     assert played.returncode == 0, played.stdout + played.stderr[-3000:]
-    told = json.loads(played.stdout)
-    assert told["broken"] == {} and told["proxies"] == (COLD_PROXIES if name.startswith("cold") else 8)
-    assert (told["servers"] == SUBSET_SERVERS) is (name == "subset")
-    assert told["tries"] > 100 and told["outcomes"]["stands"] > 50  # the day was a day
+    drain_notices = json.loads(played.stdout)
+    assert drain_notices["broken"] == {} and drain_notices["proxies"] == (
+        COLD_PROXIES if name.startswith("cold") else 8
+    )
+    assert (drain_notices["servers"] == SUBSET_SERVERS) is (name == "subset")
+    assert drain_notices["tries"] > 100 and drain_notices["outcomes"]["stands"] > 50  # the day had traffic
 
 
-# -- the check itself: a day without fault, and each rule broken once ---------------------------------
+# -- the checker: a day without violations, and each rule broken once ---------------------------------
 
 CALL = "00000000000000aa"
 
 
-def sound() -> Seen:
-    """Two proxies; a call that was refused at s0, given up at s1 and stood at s2."""
-    return Seen(
+def valid_day() -> DayRecord:
+    """Two proxies; a call that was refused at s0, released at s1 and established at s2."""
+    return DayRecord(
         attempts=[
-            Attempt(CALL, "s0", 0, 1, 1001.0, 1002.0, End.REFUSED, 1010.0),
-            Attempt(CALL, "s1", 0, 1, 1012.0, 1013.0, End.GIVEN_UP, 1300.0),
-            Attempt(CALL, "s2", 0, 1, 1501.0, 1502.0, End.ANSWERED, 1520.0, "made", 2000.0),
+            Attempt(CALL, "s0", 0, 1, 1001.0, 1002.0, AttemptEnd.REFUSED, 1010.0),
+            Attempt(CALL, "s1", 0, 1, 1012.0, 1013.0, AttemptEnd.RELEASED, 1300.0),
+            Attempt(CALL, "s2", 0, 1, 1501.0, 1502.0, AttemptEnd.ANSWERED, 1520.0, "made", 2000.0),
         ],
-        asked=[Asked(CALL, 0, 1, "slot-lookup", 1000.0, 2000.0, Outcome.STANDS, 1521.0, "made", 1, 2002.0)],
-        lives=[Life(0, 1, 0.0, 500.0), Life(1, 1, 0.0, 500.0)],
+        setups=[
+            CallerSetUp(
+                CALL, 0, 1, "slot-lookup", 1000.0, 2000.0, Outcome.ESTABLISHED, 1521.0, "made", 1, 2002.0
+            )
+        ],
+        runs=[ProxyRun(0, 1, 0.0, 500.0), ProxyRun(1, 1, 0.0, 500.0)],
         ended_ms=20_000.0,
     )
 
 
-def rules(seen: Seen) -> set[str]:
-    return {one.rule for one in check(seen, Contract())}
+def rules(record: DayRecord) -> set[str]:
+    return {one.rule for one in check(record, Contract())}
 
 
-def test_a_sound_day_breaks_no_rule() -> None:
-    assert rules(sound()) == set()
+def test_a_valid_day_has_no_violations() -> None:
+    assert rules(valid_day()) == set()
 
 
 @pytest.mark.parametrize(
-    ("rule", "spoil"),
+    ("rule", "corrupt"),
     [
-        ("lost", lambda s: vars_of(s.asked[0], outcome=Outcome.NONE, told_ms=float("inf"), words=0)),
-        ("lost", lambda s: vars_of(s.asked[0], words=2)),
-        ("lost", lambda s: vars_of(s.asked[0], description="of nobody")),
-        ("late", lambda s: vars_of(s.asked[0], told_ms=3051.0)),
-        ("two attempts", lambda s: vars_of(s.attempts[0], end_ms=1020.0)),
-        ("two attempts", lambda s: vars_of(s.attempts[1], end_ms=1560.0)),
-        ("release", lambda s: vars_of(s.attempts[1], end_ms=1352.0)),
-        ("release", lambda s: vars_of(s.attempts[1], end=End.CLOSED, end_ms=1352.0)),
+        (
+            "lost",
+            lambda s: set_fields(s.setups[0], outcome=Outcome.NONE, outcome_ms=float("inf"), outcome_count=0),
+        ),
+        ("lost", lambda s: set_fields(s.setups[0], outcome_count=2)),
+        ("lost", lambda s: set_fields(s.setups[0], description="of nobody")),
+        ("late", lambda s: set_fields(s.setups[0], outcome_ms=3051.0)),
+        ("two attempts", lambda s: set_fields(s.attempts[0], end_ms=1020.0)),
+        ("two attempts", lambda s: set_fields(s.attempts[1], end_ms=1560.0)),
+        ("release", lambda s: set_fields(s.attempts[1], end_ms=1352.0)),
+        ("release", lambda s: set_fields(s.attempts[1], end=AttemptEnd.CLOSED, end_ms=1352.0)),
         (
             "attempts",
             lambda s: s.attempts.extend(
-                Attempt(CALL, "s3", 0, 1, at, at, End.REFUSED, at) for at in (1014.0, 1015.0, 1016.0, 1017.0)
+                Attempt(CALL, "s3", 0, 1, at, at, AttemptEnd.REFUSED, at)
+                for at in (1014.0, 1015.0, 1016.0, 1017.0)
             ),
         ),
-        ("foul", lambda s: vars_of(s.asked[0], call="00000000000000bb")),
-        ("drain", lambda s: s.told.append(Told(0, 1, "s2", -550.0))),
-        ("crash", lambda s: vars_of(s.lives[1], ended_ms=900.0, status=1)),
-        ("crash", lambda s: vars_of(s.lives[1], term_ms=900.0, ended_ms=950.0, status=1)),
-        ("crash", lambda s: vars_of(s.lives[1], ready_ms=float("inf"))),
-        ("end untold", lambda s: vars_of(s.asked[0], over_ms=3051.0)),
+        ("foul", lambda s: set_fields(s.setups[0], call="00000000000000bb")),
+        ("drain", lambda s: s.drain_notices.append(DrainNotice(0, 1, "s2", -550.0))),
+        ("crash", lambda s: set_fields(s.runs[1], ended_ms=900.0, status=1)),
+        ("crash", lambda s: set_fields(s.runs[1], term_ms=900.0, ended_ms=950.0, status=1)),
+        ("crash", lambda s: set_fields(s.runs[1], ready_ms=float("inf"))),
+        ("end untold", lambda s: set_fields(s.setups[0], end_notified_ms=3051.0)),
         (
             "left standing",
             lambda s: [
-                vars_of(one, **changes)
+                set_fields(one, **changes)
                 for one, changes in (
                     (s.attempts[2], {"ended_ms": float("inf")}),
-                    (s.asked[0], {"outcome": Outcome.REFUSED}),
+                    (s.setups[0], {"outcome": Outcome.REFUSED}),
                 )
             ],
         ),
         (
             "cold",
             lambda s: (
-                s.colds.append(Cold("s9", 1000.0, 2.0)),
+                s.cold_starts.append(ColdStart("s9", 1000.0, 2.0)),
                 s.attempts.extend(
-                    Attempt(f"{n:016x}", "s9", 1, 1, 1100.0 + n, 1100.0, End.REFUSED, 1101.0 + n)
+                    Attempt(f"{n:016x}", "s9", 1, 1, 1100.0 + n, 1100.0, AttemptEnd.REFUSED, 1101.0 + n)
                     for n in range(7)
                 ),
             ),
         ),
     ],
 )
-def test_each_broken_rule_is_found(rule: str, spoil: object) -> None:
-    seen = sound()
-    assert callable(spoil)
-    spoil(seen)
-    assert rule in rules(seen)
+def test_the_checker_finds_each_broken_rule(rule: str, corrupt: object) -> None:
+    record = valid_day()
+    assert callable(corrupt)
+    corrupt(record)
+    assert rule in rules(record)
 
 
-def vars_of(what: object, **changes: object) -> object:
+def set_fields(what: object, **changes: object) -> object:
     for name, value in changes.items():
         assert hasattr(what, name)
         setattr(what, name, value)
     return what
 
 
-def test_what_nobody_can_be_held_to_breaks_no_rule() -> None:
-    seen = sound()
-    unanswered = {"outcome": Outcome.NONE, "told_ms": float("inf"), "words": 0}
-    seen.attempts.clear()
-    vars_of(seen.asked[0], **unanswered)
-    killed = dataclasses.replace(seen.lives[0], killed_ms=2000.0)
-    stopped = dataclasses.replace(seen.lives[0], stalls=[(1500.0, 4000.0)])
-    stopping = dataclasses.replace(seen.lives[0], term_ms=200.0, ended_ms=4000.0, status=0)
-    for life in (killed, stopped, stopping):
-        seen.lives[0] = life
-        assert rules(seen) == set()
-    seen.lives[0] = dataclasses.replace(seen.lives[0], term_ms=900.0, killed_ms=4600.0)
-    assert rules(seen) == {"lost"}  # the platform gave it its time
-
-
-def test_what_was_given_up_in_the_dark_is_not_held_against_the_proxy_elsewhere_it_is() -> None:
-    for way, broken in (
-        (Unheard(0, "s1", 1100.0, 1900.0), set()),
-        (Unheard(0, "s2", 1100.0, 1900.0), set()),
-        (Unheard(1, "s1", 1100.0, 1900.0), {"two attempts"}),
-        (Unheard(0, "s0", 1100.0), {"two attempts"}),
-        (Unheard(0, "s1", 1600.0), {"two attempts"}),
+def test_unanswered_calls_of_killed_and_stopped_proxies_are_excused() -> None:
+    record = valid_day()
+    unanswered = {"outcome": Outcome.NONE, "outcome_ms": float("inf"), "outcome_count": 0}
+    record.attempts.clear()
+    set_fields(record.setups[0], **unanswered)
+    killed = dataclasses.replace(record.runs[0], killed_ms=2000.0)
+    stopped = dataclasses.replace(record.runs[0], stalls=[(1500.0, 4000.0)])
+    stopping = dataclasses.replace(record.runs[0], term_ms=200.0, ended_ms=4000.0, status=0)
+    for run in (killed, stopped, stopping):
+        record.runs[0] = run
+        assert rules(record) == set()
+    record.runs[0] = dataclasses.replace(record.runs[0], term_ms=900.0, killed_ms=4600.0)
+    assert rules(record) == {"lost"}  # killed only after the platform's grace period
+
+
+def test_an_overlap_is_excused_only_by_a_fault_on_a_link_of_the_same_proxy_and_servers() -> None:
+    for link, broken in (
+        (LinkFault(0, "s1", 1100.0, 1900.0), set()),
+        (LinkFault(0, "s2", 1100.0, 1900.0), set()),
+        (LinkFault(1, "s1", 1100.0, 1900.0), {"two attempts"}),
+        (LinkFault(0, "s0", 1100.0), {"two attempts"}),
+        (LinkFault(0, "s1", 1600.0), {"two attempts"}),
     ):
-        seen = sound()
-        vars_of(seen.attempts[1], end_ms=1900.0)
-        seen.unheard.append(way)
-        assert rules(seen) == broken
+        record = valid_day()
+        set_fields(record.attempts[1], end_ms=1900.0)
+        record.link_faults.append(link)
+        assert rules(record) == broken
 
 
-def test_a_back_listed_server_and_one_told_in_time_may_be_sent_to() -> None:
-    seen = sound()
-    seen.told += [Told(0, 1, "s2", -900.0, back_ms=1400.0), Told(0, 1, "s1", -1030.0), Told(1, 1, "s0", -9e3)]
-    assert rules(seen) == set()
+def test_relisted_servers_and_the_drain_grace_allow_set_ups() -> None:
+    record = valid_day()
+    record.drain_notices += [
+        DrainNotice(0, 1, "s2", -900.0, relisted_ms=1400.0),
+        DrainNotice(0, 1, "s1", -1030.0),
+        DrainNotice(1, 1, "s0", -9e3),
+    ]
+    assert rules(record) == set()
 
 
-def test_scripts_are_the_seeds_and_name_only_what_there_is() -> None:
+def test_scripts_are_deterministic_and_refer_only_to_existing_members() -> None:
     for name in SCRIPTS:
         for shape in (Shape(), Shape(230, 24, 5, 12, 30.0), Shape(1, 1, 1, 1, 5.0)):
             for seed in range(5):
