--- a/lab/fleet/board.py
+++ b/lab/fleet/board.py
@@ -9,9 +9,9 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
+from lab.fleet.network import EventLoop, LineStream
 from lab.fleet.records import DayRecord, DrainNotice
 from lab.fleet.servers import BookingServer
-from lab.fleet.network import EventLoop, LineStream
 
 
 class NoticeBoard:
--- a/lab/fleet/callers.py
+++ b/lab/fleet/callers.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lab.fleet.records import CallerSetUp, ProxyRun, Outcome, DayRecord
-from lab.fleet.servers import encode_message
 from lab.fleet.network import EventLoop, LineStream
+from lab.fleet.records import CallerSetUp, DayRecord, Outcome, ProxyRun
+from lab.fleet.servers import encode_message
 from lab.world import Arrival
 
 IDLE_TIMEOUT_MS = 4000.0  # a connection with no call on it is closed after this
--- a/lab/fleet/checker.py
+++ b/lab/fleet/checker.py
@@ -10,7 +10,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from lab.fleet.records import CallerSetUp, Attempt, AttemptEnd, ProxyRun, Outcome, DayRecord
+from lab.fleet.records import Attempt, AttemptEnd, CallerSetUp, DayRecord, Outcome, ProxyRun
 
 TIMING_SLACK_MS = 50.0  # the protocol's allowance on every time limit
 SHUTDOWN_ACCEPT_MS = 700.0  # set-ups sent later than this after SIGTERM may stay unanswered
@@ -264,10 +264,10 @@
                 if ended_or_released_ms <= attempt.server_died_ms
                 else contract.undelivered_end_ms
             )
-            due_ms = over_at_ms + within_ms + slack_ms
-            stalled = any(paused <= due_ms and over_at_ms <= resumed for paused, resumed in run.stalls)
+            notify_by_ms = over_at_ms + within_ms + slack_ms
+            stalled = any(paused <= notify_by_ms and over_at_ms <= resumed for paused, resumed in run.stalls)
             checked_until_ms = min(run.killed_ms, run.term_ms, record.ended_ms)
-            if one.end_notified_ms > due_ms and checked_until_ms > due_ms and not stalled:
+            if one.end_notified_ms > notify_by_ms and checked_until_ms > notify_by_ms and not stalled:
                 text = f"ended at {attempt.server}, its caller not notified within {within_ms:.0f} ms"
                 found.append(Violation("end untold", call, text))
     return found
--- a/lab/fleet/day.py
+++ b/lab/fleet/day.py
@@ -22,11 +22,11 @@
 from lab.fleet import checker
 from lab.fleet.board import NoticeBoard
 from lab.fleet.callers import CLASSES, CallerGroup, schedule
+from lab.fleet.network import EventLoop
 from lab.fleet.processes import Process, free_port
-from lab.fleet.records import ProxyRun, Outcome, DayRecord, LinkFault
+from lab.fleet.records import DayRecord, LinkFault, Outcome, ProxyRun
 from lab.fleet.script import Shape, Step, extra_config, script, uid
 from lab.fleet.servers import BookingServer
-from lab.fleet.network import EventLoop
 
 READY_MS = 30_000.0  # the platform's limit on start-up; callers arrive once all proxies are ready
 PROCESS_POLL_INTERVAL_MS = 20.0  # between checks for exited processes
--- a/lab/fleet/servers.py
+++ b/lab/fleet/servers.py
@@ -10,8 +10,8 @@
 
 from capershelf import interface
 from lab import world
-from lab.fleet.records import Attempt, ColdStart, AttemptEnd, DayRecord
-from lab.fleet.network import LinkConnection, EventLoop, Link
+from lab.fleet.network import EventLoop, Link, LinkConnection
+from lab.fleet.records import Attempt, AttemptEnd, ColdStart, DayRecord
 
 REPORT_INTERVAL_MS = 300.0  # between two unsolicited load reports
 REPORT_CONNECTIONS = 4  # open connections that each report is sent on
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -13,15 +13,15 @@
 
 from lab.fleet.checker import Contract, check
 from lab.fleet.records import (
-    CallerSetUp,
     Attempt,
-    ColdStart,
     AttemptEnd,
-    ProxyRun,
-    Outcome,
+    CallerSetUp,
+    ColdStart,
     DayRecord,
     DrainNotice,
     LinkFault,
+    Outcome,
+    ProxyRun,
 )
 from lab.fleet.script import SCRIPTS, Shape, script
 
@@ -40,7 +40,7 @@
 @pytest.fixture(scope="module")
 def days() -> dict[str, Future[subprocess.CompletedProcess[str]]]:
     def play(name: str) -> subprocess.CompletedProcess[str]:
-        outcome_count = [
+        command = [
             sys.executable,
             "-m",
             "lab",
@@ -50,10 +50,8 @@
             "7",
             "--json",
         ]
-        outcome_count += DAY_OPTIONS.get(name, [])
-        return subprocess.run(
-            outcome_count, cwd=ROOT, capture_output=True, text=True, timeout=240, check=False
-        )
+        command += DAY_OPTIONS.get(name, [])
+        return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=240, check=False)
 
     with ThreadPoolExecutor(PARALLEL_DAYS) as pool:
         return {name: pool.submit(play, name) for name in DAYS}
@@ -65,12 +63,10 @@
 ) -> None:
     played = days[name].result()
     assert played.returncode == 0, played.stdout + played.stderr[-3000:]
-    drain_notices = json.loads(played.stdout)
-    assert drain_notices["broken"] == {} and drain_notices["proxies"] == (
-        COLD_PROXIES if name.startswith("cold") else 8
-    )
-    assert (drain_notices["servers"] == SUBSET_SERVERS) is (name == "subset")
-    assert drain_notices["tries"] > 100 and drain_notices["outcomes"]["stands"] > 50  # the day had traffic
+    result = json.loads(played.stdout)
+    assert result["broken"] == {} and result["proxies"] == (COLD_PROXIES if name.startswith("cold") else 8)
+    assert (result["servers"] == SUBSET_SERVERS) is (name == "subset")
+    assert result["tries"] > 100 and result["outcomes"]["stands"] > 50  # the day had traffic
 
 
 # -- the checker: a day without violations, and each rule broken once ---------------------------------
