--- a/lab/fleet/day.py
+++ b/lab/fleet/day.py
@@ -363,7 +363,7 @@
 
     def play(self) -> Report:
         """Run the day and return its report."""
-        thread = threading.Thread(target=self.loop.poller.run, name="stage", daemon=True)
+        thread = threading.Thread(target=self.loop.poller.run, name="simulated-peers", daemon=True)
         thread.start()
         began_s, cpu_before_s = time.monotonic(), _cpu_seconds()
         arrivals = self.arrivals()
--- a/lab/fleet/network.py
+++ b/lab/fleet/network.py
@@ -31,7 +31,7 @@
     """Records exceptions of the simulated peers, so that they are not mistaken for faults of a proxy."""
 
     def __init__(self, clock: SystemClock) -> None:
-        super().__init__(clock, "stage")
+        super().__init__(clock, "simulated-peers")
         self.failures: list[str] = []
 
     def _run_logged(self, what: Callable[[], None]) -> None:
