--- a/lab/fleet/board.py
+++ b/lab/fleet/board.py
@@ -125,4 +125,5 @@
             )
 
     def notice_ms(self, uid: str) -> float:
+        """Return when the booking server's drain or removal was published, inf if it is up."""
         return self._open_notices[uid].at_ms if uid in self._open_notices else math.inf
--- a/lab/fleet/callers.py
+++ b/lab/fleet/callers.py
@@ -247,6 +247,7 @@
                 other.calls[setup.call] = setup  # the call goes on; its end arrives on another connection
 
     def close(self) -> None:
+        """Close all connections."""
         for connection in self._connections:
             with contextlib.suppress(OSError):
                 connection.stream.close()
--- a/lab/fleet/network.py
+++ b/lab/fleet/network.py
@@ -54,6 +54,7 @@
 
     @property
     def now_ms(self) -> float:
+        """The current time in Unix milliseconds."""
         return self.clock.now_ms()
 
     def after(self, delay_ms: float, callback: Callable[..., None], *args: Any) -> None:
@@ -297,6 +298,7 @@
 
     @property
     def open(self) -> bool:
+        """Whether both ends of the connection are open."""
         return self.stream.open and self.server_end_open
 
     def _line_received(self, line: bytes, first_byte_ms: float) -> None:
