--- a/capershelf/commands/control.py
+++ b/capershelf/commands/control.py
@@ -23,7 +23,7 @@
 from capershelf.net.tls import Identity
 from capershelf.stream import document as doc
 from capershelf.stream import standing
-from capershelf.stream.ledger import Number
+from capershelf.stream.ledger import VersionNumber
 from capershelf.stream.protocol import Published
 from capershelf.stream.rollout import Plan
 from capershelf.stream.service import STATE, ControlService, End, read_version, versions_in
@@ -110,12 +110,12 @@
 ) -> None:
     """Publish FILE as the next version."""
     found = doc.read(file.read_bytes()) if unchecked else read_checked(file)
-    last = max(versions_in(folder), default=Number(1, 0))
-    number = Number(last.epoch, last.version + 1)
+    last = max(versions_in(folder), default=VersionNumber(1, 0))
+    number = VersionNumber(last.epoch, last.version + 1)
     if epoch is not None and epoch != last.epoch:
         if epoch < last.epoch:
             raise click.UsageError(f"epoch {epoch} is over, {last.epoch} is in force")
-        number = Number(epoch, 1)
+        number = VersionNumber(epoch, 1)
     if sign_with is not None:
         sign_version(folder, Published.of(number, found), sign_with, key_name, valid)
     put(folder / f"{number}.json", doc.canonical(found) + b"\n")
@@ -132,7 +132,7 @@
     """Sign version NUMBER (EPOCH.VERSION) once more; a running service offers the newest one anew."""
     try:
         epoch, version = number.split(".")
-        published = read_version(folder, Number(int(epoch), int(version)))
+        published = read_version(folder, VersionNumber(int(epoch), int(version)))
     except ValueError as problem:
         raise click.ClickException(f"{number}: {problem}") from problem
     sign_version(folder, published, sign_with, key_name, valid)
--- a/capershelf/stream/follower.py
+++ b/capershelf/stream/follower.py
@@ -23,7 +23,7 @@
 from capershelf.stream import document as doc
 from capershelf.stream import protocol, takeover
 from capershelf.stream.keep import Keep
-from capershelf.stream.ledger import Ledger, Number
+from capershelf.stream.ledger import VersionHistory, VersionNumber
 from capershelf.stream.order import Order
 from capershelf.stream.probation import Measure, Probation, Terms
 from capershelf.stream.signing import KeyRing
@@ -31,7 +31,7 @@
 
 CONNECT_MS = 2000.0
 HANDSHAKE_MS = 3000.0
-SILENT_MS = 3.0 * protocol.BEAT_MS  # a service that says nothing for so long is left
+SILENT_MS = 3.0 * protocol.HEARTBEAT_MS  # a service that says nothing for so long is left
 HALF_MS = 2000.0  # and one that does not end a message
 FETCH_MS = 30_000.0  # a version must come whole within this, else another service is asked for it
 PLANNERS_MS = 5000.0  # for all planners to have taken a version over
@@ -84,7 +84,7 @@
 class InForce:
     """A version in force, or none: then the proxy's own file alone."""
 
-    number: Number | None = None
+    number: VersionNumber | None = None
     digest: str = ""
     document: dict[str, Any] | None = None
 
@@ -107,9 +107,9 @@
         self.inbox: Inbox[Opened | Line | Closed | Rebase | End] = Inbox(clock)
         self._settings, self._base, self._host, self._clock = settings, base, host, clock
         self._keep, self._environ = keep, environ
-        ledger = Ledger(started.number, started.digest)
+        ledger = VersionHistory(started.number, started.digest)
         self._ring = ring
-        self._end = protocol.ProxyEnd(base.name, release, ledger, ring())
+        self._end = protocol.ProxySession(base.name, release, ledger, ring())
         self._end.base = started.document
         self._in_force, self._before = started, InForce()
         self._order = Order(settings.services, base.seed)
@@ -162,7 +162,7 @@
         self._number += 1
         number = self._number
         self._room = room = threading.Semaphore(WAITING)
-        self._heard_ms, self._beat_ms = now_ms, now_ms + protocol.BEAT_MS
+        self._heard_ms, self._beat_ms = now_ms, now_ms + protocol.HEARTBEAT_MS
 
         def message(data: bytes) -> None:
             room.acquire()
@@ -230,7 +230,7 @@
                 self._fetch_by_ms, self._fetching = math.inf, None
         now_ms = self._clock.now_ms()
         if self._connection is not None and now_ms >= self._beat_ms:
-            self._beat_ms = now_ms + protocol.BEAT_MS
+            self._beat_ms = now_ms + protocol.HEARTBEAT_MS
             self._say({"type": "beat"})
         if self._connection is not None and now_ms >= self._fetch_by_ms:
             self._fetch_by_ms, self._fetching = math.inf, None
@@ -245,7 +245,7 @@
         self._heard_ms = now_ms = self._clock.now_ms()
         try:
             message = protocol.decode(data)
-        except protocol.NonsenseError as problem:
+        except protocol.ProtocolError as problem:
             self._hang_up(str(problem))
             return
         if message["type"] == "welcome":
@@ -258,11 +258,11 @@
     def _carry_out(self, steps: list[protocol.Step]) -> None:
         for step in steps:
             match step:
-                case protocol.Say(message):
+                case protocol.Send(message):
                     self._say(message)
-                case protocol.Hang(reason):
+                case protocol.Disconnect(reason):
                     self._hang_up(reason)
-                case protocol.Refusing(number, code, text):
+                case protocol.VersionRefused(number, code, text):
                     logger.warning(
                         "stream: version {version} of {service} refused: {reason} [{code}]",
                         event="version-refused",
@@ -271,7 +271,7 @@
                         reason=text,
                         code=code,
                     )
-                case protocol.Arrived():
+                case protocol.VersionReceived():
                     self._consider(step)
 
     # -- taking over ----------------------------------------------------------------------------------
@@ -308,7 +308,7 @@
                 pass
         return True
 
-    def _consider(self, arrived: protocol.Arrived) -> None:
+    def _consider(self, arrived: protocol.VersionReceived) -> None:
         found = self._plan(arrived.document)
         if isinstance(found, Offence):
             self._carry_out(self._end.refuse(arrived, found.code, found.path, found.text))
@@ -327,7 +327,7 @@
             service=self._service,
             notes=f"; from the next start on: {', '.join(found.notes)}" if found.notes else "",
         )
-        self._carry_out(self._end.taken(arrived, found.notes))
+        self._carry_out(self._end.accept(arrived, found.notes))
         if self._settings.probation_ms > 0:
             terms = Terms(self._settings.probation_ms, self._settings.margin, self._settings.least)
             self._probation = Probation(terms, self._clock.now_ms(), before)
@@ -419,4 +419,4 @@
         )
         self._in_force, self._before = before, InForce()
         self._save()
-        self._carry_out(self._end.put_back(bad.number, before.number, before.document, before.digest, why))
+        self._carry_out(self._end.roll_back(bad.number, before.number, before.document, before.digest, why))
--- a/capershelf/stream/keep.py
+++ b/capershelf/stream/keep.py
@@ -7,7 +7,7 @@
 from capershelf.memory.disk import Disk
 from capershelf.memory.generations import Generations, NewerError, RefusedError, SpoiltError, frame, unframe
 from capershelf.stream import document as doc
-from capershelf.stream.ledger import Number
+from capershelf.stream.ledger import VersionNumber
 
 MAGIC = b"CAPSHCFG"
 FORMAT = 1
@@ -25,8 +25,8 @@
     document: bytes
 
     @property
-    def number(self) -> Number:
-        return Number(self.epoch, self.version)
+    def number(self) -> VersionNumber:
+        return VersionNumber(self.epoch, self.version)
 
 
 class Keep:
@@ -63,7 +63,7 @@
             raise SpoiltError("its document is not of its digest")
         return kept
 
-    def save(self, number: Number, digest: str, document: bytes, now_ms: float) -> None:
+    def save(self, number: VersionNumber, digest: str, document: bytes, now_ms: float) -> None:
         """OSError leaves the one before."""
         kept = Kept(
             proxy=self._proxy,
--- a/capershelf/stream/ledger.py
+++ b/capershelf/stream/ledger.py
@@ -1,8 +1,8 @@
-"""Which version may follow which, whichever service tells of it.  Pure.
+"""Decides which version may replace the one in force, whichever service offers it.  No I/O.
 
-Versions are numbered within an epoch.  A service whose numbers begin again must begin a new epoch; a
-number under one already acknowledged is refused, and so is another text under a number that was seen:
-neither is believed over the last good version.
+Versions are numbered within an epoch.  A service that restarts its numbering must start a new epoch.  A
+number lower than the acknowledged one is refused, and so is different content under a number already
+seen: neither overrides the last good version.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-REMEMBERED = 64  # versions seen, refused or put back
+MAX_REMEMBERED = 64  # offers kept in each table (seen, rejected)
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Number:
-    """A version's place: versions are counted within an epoch."""
+class VersionNumber:
+    """The number of a version: a counter within an epoch."""
 
     epoch: int
     version: int
@@ -25,67 +25,75 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """What becomes of an offer: fetch it, or a code and a text for a refusal; have: it is in force here."""
+class OfferDecision:
+    """What to do with an offer: fetch it, acknowledge it because it is in force, or refuse it.
+
+    A refusal has a code and a text.
+    """
 
     fetch: bool = False
-    have: bool = False
+    in_force: bool = False
     code: str = ""
     text: str = ""
 
 
-class Ledger:
-    """What this proxy has acknowledged, refused and put back."""
+class VersionHistory:
+    """The versions that this proxy has acknowledged, refused and rolled back."""
 
-    def __init__(self, good: Number | None = None, digest: str = "") -> None:
+    def __init__(self, good: VersionNumber | None = None, digest: str = "") -> None:
         self.good, self.digest = good, digest
-        self._seen: OrderedDict[Number, tuple[str, str]] = OrderedDict()  # digest, and who told of it
-        self._bad: OrderedDict[tuple[Number, str], tuple[str, str]] = OrderedDict()
+        self._seen: OrderedDict[VersionNumber, tuple[str, str]] = OrderedDict()  # digest, offering service
+        self._rejected: OrderedDict[tuple[VersionNumber, str], tuple[str, str]] = OrderedDict()
 
-    def judge(self, number: Number, digest: str, service: str) -> Verdict:
-        """What to do about an offer of this number with this digest."""
+    def evaluate_offer(self, number: VersionNumber, digest: str, service: str) -> OfferDecision:
+        """Decide what to do with an offer of this number and digest."""
         if self.good is not None:
             if number.epoch < self.good.epoch:
-                return Verdict(code="old-epoch", text=f"{number} is older than {self.good}")
+                return OfferDecision(code="old-epoch", text=f"{number} is older than {self.good}")
             if number == self.good and digest == self.digest:
-                return Verdict(have=True)
+                return OfferDecision(in_force=True)
             if number == self.good:
                 text = f"{number} of {service} is not the text that was acknowledged under that number"
-                return Verdict(code="disagree", text=text)
+                return OfferDecision(code="disagree", text=text)
             if number < self.good:
-                return Verdict(code="old-version", text=f"{number} is older than {self.good}")
-        if (bad := self._bad.get((number, digest))) is not None:
-            return Verdict(code=bad[0], text=bad[1])
+                return OfferDecision(code="old-version", text=f"{number} is older than {self.good}")
+        if (rejected := self._rejected.get((number, digest))) is not None:
+            return OfferDecision(code=rejected[0], text=rejected[1])
         known = self._seen.get(number)
         if known is not None and known[0] != digest:
             text = f"{known[1]} and {service} tell of two texts under {number}"
-            self._note(number, known[0], "disagree", text)
-            self._note(number, digest, "disagree", text)
-            return Verdict(code="disagree", text=text)
+            self._reject(number, known[0], "disagree", text)
+            self._reject(number, digest, "disagree", text)
+            return OfferDecision(code="disagree", text=text)
         self._seen[number] = (digest, service)
-        self._trim()
-        return Verdict(fetch=True)
+        self._evict_oldest()
+        return OfferDecision(fetch=True)
 
-    def taken(self, number: Number, digest: str) -> None:
-        """It is in force here."""
+    def mark_accepted(self, number: VersionNumber, digest: str) -> None:
+        """Record that the version is in force here."""
         self.good, self.digest = number, digest
 
-    def refused(self, number: Number, digest: str, code: str, text: str) -> None:
-        """It is not taken, now or later."""
-        self._note(number, digest, code, text)
-
-    def put_back(
-        self, number: Number, digest: str, before: Number | None, before_digest: str, text: str
+    def mark_refused(self, number: VersionNumber, digest: str, code: str, text: str) -> None:
+        """Record a refusal: the version stays refused when it is offered again."""
+        self._reject(number, digest, code, text)
+
+    def roll_back(
+        self,
+        number: VersionNumber,
+        digest: str,
+        previous: VersionNumber | None,
+        previous_digest: str,
+        text: str,
     ) -> None:
-        """It was in force and did harm: the one before is in force again, and it is not taken once more."""
-        self.good, self.digest = before, before_digest
-        self._note(number, digest, "put-back", text)
+        """Return to the previous version and refuse the harmful one from here on."""
+        self.good, self.digest = previous, previous_digest
+        self._reject(number, digest, "put-back", text)
 
-    def _note(self, number: Number, digest: str, code: str, text: str) -> None:
-        self._bad[number, digest] = code, text
-        self._trim()
+    def _reject(self, number: VersionNumber, digest: str, code: str, text: str) -> None:
+        self._rejected[number, digest] = code, text
+        self._evict_oldest()
 
-    def _trim(self) -> None:
-        for table in (self._seen, self._bad):
-            while len(table) > REMEMBERED:
+    def _evict_oldest(self) -> None:
+        for table in (self._seen, self._rejected):
+            while len(table) > MAX_REMEMBERED:
                 table.popitem(last=False)
--- a/capershelf/stream/protocol.py
+++ b/capershelf/stream/protocol.py
@@ -1,9 +1,8 @@
-"""The stream's protocol, both ends, without I/O: messages come in as objects, steps go out.  See
-docs/stream.md.
+"""Both ends of the configuration stream's protocol, without I/O.  See docs/stream.md.
 
-A host gives each message to receive() and carries the steps out in their order: Say is to be sent, Hang
-ends the connection, the others are news for the host.  Nothing here waits, and nothing that a peer sends
-makes it raise.
+The host passes each received message to receive() and carries out the returned steps in order: Send is to
+be sent, Disconnect closes the connection, the others are events for the host.  Nothing here blocks, and
+no message from a peer raises an exception.
 """
 
 from __future__ import annotations
@@ -16,215 +15,230 @@
 from typing import Any
 
 from capershelf.stream import document as doc
-from capershelf.stream.ledger import Ledger, Number
+from capershelf.stream.ledger import VersionHistory, VersionNumber
 from capershelf.stream.signing import KeyRing, Signature
 
-SPEAKS = 1
-PART_BYTES = 8192  # of a version in one part, before base64
-WINDOW = 16  # parts that may be on their way
-MOST_FAULTS = 3  # parts that don't fit, before the version is refused
-BEAT_MS = 2000.0  # each end says something at least so often
-BASES = 32  # versions that a service keeps to make deltas against
+PROTOCOL_VERSION = 1
+PART_BYTES = 8192  # payload of one part, before base64
+WINDOW_PARTS = 16  # parts requested but not yet received, at most
+MAX_PART_FAULTS = 3  # unexpected or malformed parts before the version is refused
+HEARTBEAT_MS = 2000.0  # each end sends a message at least this often
+MAX_CACHED_VERSIONS = 32  # versions that a service keeps as bases of deltas
 Message = dict[str, Any]
 UNSIGNED = Signature()
 
 
-class NonsenseError(ValueError):
-    """A message that is not of this protocol."""
+class ProtocolError(ValueError):
+    """A message that violates the protocol."""
 
 
 def encode(message: Message) -> bytes:
+    """The bytes of a message, as canonical JSON."""
     return doc.canonical(message)
 
 
 def decode(line: bytes) -> Message:
-    """The message in a line; NonsenseError for what is none."""
+    """Parse a line into a message; raises ProtocolError if it is not one."""
     try:
         found = json.loads(line.decode())
     except (ValueError, RecursionError) as problem:
-        raise NonsenseError(f"no JSON: {problem}") from problem
+        raise ProtocolError(f"no JSON: {problem}") from problem
     if not isinstance(found, dict) or not isinstance(found.get("type"), str):
-        raise NonsenseError("not an object with a type")
+        raise ProtocolError("not an object with a type")
     return found
 
 
-def _count(message: Message, key: str, least: int = 0) -> int:
+def _integer(message: Message, key: str, least: int = 0) -> int:
     value = message.get(key)
     if isinstance(value, bool) or not isinstance(value, int) or not least <= value < 2**53:
-        raise NonsenseError(f"{message['type']}: {key} must be a whole number, not {str(value)[:40]!r}")
+        raise ProtocolError(f"{message['type']}: {key} must be a whole number, not {str(value)[:40]!r}")
     return value
 
 
 def _text(message: Message, key: str, default: str | None = None) -> str:
     value = message.get(key, default)
     if not isinstance(value, str) or len(value) > 512:
-        raise NonsenseError(f"{message['type']}: {key} must be a short text")
+        raise ProtocolError(f"{message['type']}: {key} must be a short text")
     return value
 
 
-def _number(message: Message) -> Number:
-    return Number(_count(message, "epoch"), _count(message, "version", 1))
+def _version_number(message: Message) -> VersionNumber:
+    return VersionNumber(_integer(message, "epoch"), _integer(message, "version", 1))
 
 
 # -- steps --------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Say:
-    """Send this."""
+class Send:
+    """The host sends this message."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Hang:
-    """End the connection."""
+class Disconnect:
+    """The host closes the connection."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
-    """A whole version, its digests and signature proved; the host must answer taken() or refuse()."""
+class VersionReceived:
+    """A complete version with verified digests and signature; the host answers accept() or refuse()."""
 
-    number: Number
+    number: VersionNumber
     digest: str
     document: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
-class Refusing:
-    """A version was refused here, without the host."""
+class VersionRefused:
+    """A version was refused; an event for the host to log."""
 
-    number: Number
+    number: VersionNumber
     code: str
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """At a service: what a proxy says of a version."""
+class ProxyReport:
+    """At a service: what a proxy reported about a version."""
 
     kind: str  # hello, ack, refuse or back
     proxy: str
-    number: Number | None
+    number: VersionNumber | None
     code: str = ""
     path: str = ""
     text: str = ""
     notes: tuple[str, ...] = ()
 
 
-Step = Say | Hang | Arrived | Refusing | Told
+Step = Send | Disconnect | VersionReceived | VersionRefused | ProxyReport
 
 
 # -- the proxy's end ----------------------------------------------------------------------------------
 @dataclass(slots=True)
 class Fetch:
-    """A version on its way; it outlives its connection, so that the rest can be asked for on the next."""
+    """A version being fetched.  It survives its connection: the next one requests only the missing parts."""
 
-    number: Number
+    number: VersionNumber
     form: str
     length: int
-    digest: str  # of the bytes that travel
-    whole: str  # of the document that comes of them
+    digest: str  # of the transferred bytes
+    document_digest: str
     parts: int
     data: list[bytes] = field(default_factory=list)
-    asked: int = 0  # parts that were asked for
+    requested: int = 0  # parts
     faults: int = 0
 
 
-class ProxyEnd:
-    """A proxy's side of one service at a time; connected() begins a connection."""
+class ProxySession:
+    """The proxy's end of the protocol, with one service at a time; connected() starts a connection."""
 
-    def __init__(self, proxy: str, release: str, ledger: Ledger, ring: KeyRing | None) -> None:
-        self.proxy, self.release, self.ledger, self.ring = proxy, release, ledger, ring
+    def __init__(self, proxy: str, release: str, history: VersionHistory, ring: KeyRing | None) -> None:
+        self.proxy, self.release, self.history, self.ring = proxy, release, history, ring
         self.base: dict[str, Any] | None = None  # the document of the last good version
         self.fetch: Fetch | None = None
-        self.awaited: Arrived | None = None  # with the host
+        self.awaiting_host: VersionReceived | None = None  # handed to the host, not yet answered
         self.service = ""
-        self._whole_only: set[str] = set()
-        self._welcomed = False
+        self._no_delta: set[str] = set()
+        self._ready = False
 
     def connected(self, service: str) -> list[Step]:
-        """A new connection: what to say first."""
-        self.service, self._welcomed, self.awaited = service, False, None
-        self._whole_only.clear()
+        """Start a connection; returns the hello message."""
+        self.service, self._ready, self.awaiting_host = service, False, None
+        self._no_delta.clear()
         hello: Message = {
             "type": "hello",
-            "speaks": [SPEAKS],
+            "speaks": [PROTOCOL_VERSION],
             "proxy": self.proxy,
             "release": self.release,
             "can": ["whole", "delta"],
         }
-        if self.ledger.good is not None:
+        if self.history.good is not None:
             hello |= {
-                "epoch": self.ledger.good.epoch,
-                "version": self.ledger.good.version,
-                "digest": self.ledger.digest,
+                "epoch": self.history.good.epoch,
+                "version": self.history.good.version,
+                "digest": self.history.digest,
             }
-        return [Say(hello)]
+        return [Send(hello)]
 
     def receive(self, message: Message, now_ms: float) -> list[Step]:
         try:
             match message["type"]:
                 case "welcome":
-                    if _count(message, "speaks") != SPEAKS:
-                        return [Hang("the service speaks another version of the protocol")]
-                    self._welcomed = True
+                    if _integer(message, "speaks") != PROTOCOL_VERSION:
+                        return [Disconnect("the service speaks another version of the protocol")]
+                    self._ready = True
                     return []
                 case "beat":
                     return []
-                case "offer" if self._welcomed:
-                    return self._offer(message, now_ms)
-                case "part" if self._welcomed:
-                    return self._part(message)
+                case "offer" if self._ready:
+                    return self._receive_offer(message, now_ms)
+                case "part" if self._ready:
+                    return self._receive_part(message)
                 case kind:
-                    raise NonsenseError(f"{kind!r} may not come now")
-        except NonsenseError as problem:
-            return [Hang(str(problem))]
-
-    def _offer(self, message: Message, now_ms: float) -> list[Step]:
-        number, whole = _number(message), _text(message, "whole")
-        if self.awaited is not None and self.awaited.number == number and self.awaited.digest == whole:
-            return []  # offered again while the host looks at it
-        verdict = self.ledger.judge(number, whole, self.service)
-        if verdict.have:
-            return [Say(self._ack(number, whole, ()))]
-        if not verdict.fetch:
-            return self._refuse(number, whole, verdict.code, "", verdict.text, remember=False)
+                    raise ProtocolError(f"{kind!r} may not come now")
+        except ProtocolError as problem:
+            return [Disconnect(str(problem))]
+
+    def _receive_offer(self, message: Message, now_ms: float) -> list[Step]:
+        number, whole = _version_number(message), _text(message, "whole")
+        if (
+            self.awaiting_host is not None
+            and self.awaiting_host.number == number
+            and self.awaiting_host.digest == whole
+        ):
+            return []  # offered again while the host checks it
+        decision = self.history.evaluate_offer(number, whole, self.service)
+        if decision.in_force:
+            return [Send(self._ack(number, whole, ()))]
+        if not decision.fetch:
+            return self._refuse(number, whole, decision.code, "", decision.text, record=False)
         signature = Signature(
-            _text(message, "key", ""), float(_count(message, "expires")), _text(message, "signature", "")
+            _text(message, "key", ""), float(_integer(message, "expires")), _text(message, "signature", "")
         )
         if self.ring is not None:
             code, text = self.ring.fault(number, whole, signature, now_ms)
-            if code:  # not remembered: the same text may come again with another signature
-                return self._refuse(number, whole, code, "", text, remember=False)
-        form, length = _text(message, "form"), _count(message, "length", 1)
+            if code:  # not recorded: the same document may be offered again with another signature
+                return self._refuse(number, whole, code, "", text, record=False)
+        form, length = _text(message, "form"), _integer(message, "length", 1)
         if length > doc.MOST_BYTES:
             return self._refuse(number, whole, "too-long", "", f"{length} bytes, at most {doc.MOST_BYTES}")
-        fetch = Fetch(number, form, length, _text(message, "digest"), whole, _count(message, "parts", 1))
+        fetch = Fetch(number, form, length, _text(message, "digest"), whole, _integer(message, "parts", 1))
         if fetch.parts != math.ceil(length / PART_BYTES) or form not in ("whole", "delta"):
-            raise NonsenseError(f"offer: {fetch.parts} parts of form {form!r} for {length} bytes")
+            raise ProtocolError(f"offer: {fetch.parts} parts of form {form!r} for {length} bytes")
         if form == "delta" and (
-            self.base is None or _text(message, "base", "") != self.ledger.digest or whole in self._whole_only
+            self.base is None or _text(message, "base", "") != self.history.digest or whole in self._no_delta
+        ):
+            self._no_delta.add(whole)
+            return [Send(self._request_message(number, 0, whole=True))]
+        previous = self.fetch
+        if previous is not None and (previous.number, previous.digest, previous.document_digest) == (
+            number,
+            fetch.digest,
+            whole,
         ):
-            self._whole_only.add(whole)
-            return [Say(self._want(number, 0, whole=True))]
-        kept = self.fetch
-        if kept is not None and (kept.number, kept.digest, kept.whole) == (number, fetch.digest, whole):
-            kept.asked = len(kept.data)
-            fetch = kept  # the rest of what a break has left
-        self.fetch, self.awaited = fetch, None  # only the newest matters
-        return self._ask(fetch) or self._assemble(fetch)
-
-    def _ask(self, fetch: Fetch) -> list[Step]:
-        """Ask for more once half of the window has come."""
+            previous.requested = len(previous.data)
+            fetch = previous  # resume the fetch of the previous connection
+        self.fetch, self.awaiting_host = fetch, None  # the newest offer replaces any earlier one
+        return self._request_parts(fetch) or self._assemble(fetch)
+
+    def _request_parts(self, fetch: Fetch) -> list[Step]:
+        """Request more parts once half of the window was received."""
         have = len(fetch.data)
-        if have >= fetch.parts or fetch.asked - have > WINDOW // 2 or fetch.asked >= fetch.parts:
+        if (
+            have >= fetch.parts
+            or fetch.requested - have > WINDOW_PARTS // 2
+            or fetch.requested >= fetch.parts
+        ):
             return []
-        begin, fetch.asked = fetch.asked, min(fetch.parts, have + WINDOW)
-        return [Say(self._want(fetch.number, begin, fetch.asked - begin))]
+        begin, fetch.requested = fetch.requested, min(fetch.parts, have + WINDOW_PARTS)
+        return [Send(self._request_message(fetch.number, begin, fetch.requested - begin))]
 
     @staticmethod
-    def _want(number: Number, begin: int, most: int = WINDOW, whole: bool = False) -> Message:
+    def _request_message(
+        number: VersionNumber, begin: int, most: int = WINDOW_PARTS, whole: bool = False
+    ) -> Message:
         return {
             "type": "want",
             "epoch": number.epoch,
@@ -234,10 +248,10 @@
             "whole": whole,
         }
 
-    def _part(self, message: Message) -> list[Step]:
-        fetch, place = self.fetch, _count(message, "number")
-        if fetch is None or _number(message) != fetch.number or place < len(fetch.data):
-            return []  # of a version that was overtaken, or told twice
+    def _receive_part(self, message: Message) -> list[Step]:
+        fetch, index = self.fetch, _integer(message, "number")
+        if fetch is None or _version_number(message) != fetch.number or index < len(fetch.data):
+            return []  # a part of a superseded version, or a duplicate
         have = len(fetch.data)
         try:
             data = base64.b64decode(str(message.get("data")), validate=True)
@@ -245,67 +259,72 @@
             data = b""
         last = have == fetch.parts - 1
         wanted = fetch.length - PART_BYTES * (fetch.parts - 1) if last else PART_BYTES
-        if place != have or len(data) != wanted:
+        if index != have or len(data) != wanted:
             fetch.faults += 1
-            if fetch.faults >= MOST_FAULTS:
+            if fetch.faults >= MAX_PART_FAULTS:
                 self.fetch = None
-                text = f"part {have} did not come whole in {MOST_FAULTS} tries"
-                return self._refuse(fetch.number, fetch.whole, "parts", "", text, remember=False)
-            fetch.asked = min(fetch.parts, have + WINDOW)
-            return [Say(self._want(fetch.number, have, fetch.asked - have))]
+                text = f"part {have} did not come whole in {MAX_PART_FAULTS} tries"
+                return self._refuse(fetch.number, fetch.document_digest, "parts", "", text, record=False)
+            fetch.requested = min(fetch.parts, have + WINDOW_PARTS)
+            return [Send(self._request_message(fetch.number, have, fetch.requested - have))]
         fetch.data.append(data)
-        return self._ask(fetch) if len(fetch.data) < fetch.parts else self._assemble(fetch)
+        return self._request_parts(fetch) if len(fetch.data) < fetch.parts else self._assemble(fetch)
 
     def _assemble(self, fetch: Fetch) -> list[Step]:
-        """All parts are here: prove them, and make the document."""
+        """Verify the received parts and build the document from them."""
         self.fetch = None
         data = b"".join(fetch.data)
         if doc.digest(data) != fetch.digest:
             text = "the parts are not what was offered"
-            return self._refuse(fetch.number, fetch.whole, "digest", "", text, remember=False)
+            return self._refuse(fetch.number, fetch.document_digest, "digest", "", text, record=False)
         try:
             found = doc.read(data)
             if fetch.form == "delta":
                 found = doc.apply(self.base or {}, found)
-            proved = doc.digest(doc.canonical(found)) == fetch.whole
+            proved = doc.digest(doc.canonical(found)) == fetch.document_digest
         except ValueError as problem:
-            return self._refuse(fetch.number, fetch.whole, "unreadable", "", str(problem))
+            return self._refuse(fetch.number, fetch.document_digest, "unreadable", "", str(problem))
         if not proved:
             if fetch.form == "delta":
-                self._whole_only.add(fetch.whole)
-                return [Say(self._want(fetch.number, 0, whole=True))]
+                self._no_delta.add(fetch.document_digest)
+                return [Send(self._request_message(fetch.number, 0, whole=True))]
             text = "the document is not what was offered"
-            return self._refuse(fetch.number, fetch.whole, "digest", "", text)
-        self.awaited = Arrived(fetch.number, fetch.whole, found)
-        return [self.awaited]
-
-    # -- the host's answers ---------------------------------------------------------------------------
-    def taken(self, arrived: Arrived, notes: tuple[str, ...]) -> list[Step]:
-        """It is in force in every planner."""
-        self.ledger.taken(arrived.number, arrived.digest)
+            return self._refuse(fetch.number, fetch.document_digest, "digest", "", text)
+        self.awaiting_host = VersionReceived(fetch.number, fetch.document_digest, found)
+        return [self.awaiting_host]
+
+    # -- answers of the host ---------------------------------------------------------------------------
+    def accept(self, arrived: VersionReceived, notes: tuple[str, ...]) -> list[Step]:
+        """Acknowledge a version that is in force in every planner."""
+        self.history.mark_accepted(arrived.number, arrived.digest)
         self.base = arrived.document
-        return self._answer(arrived, [Say(self._ack(arrived.number, arrived.digest, notes))])
+        return self._answer(arrived, [Send(self._ack(arrived.number, arrived.digest, notes))])
 
-    def refuse(self, arrived: Arrived, code: str, path: str, text: str) -> list[Step]:
-        """It breaks a rule; the last good version stays."""
+    def refuse(self, arrived: VersionReceived, code: str, path: str, text: str) -> list[Step]:
+        """Refuse a version that breaks a rule; the last good version stays in force."""
         return self._answer(arrived, self._refuse(arrived.number, arrived.digest, code, path, text))
 
-    def put_back(
-        self, bad: Number, before: Number | None, base: dict[str, Any] | None, digest: str, text: str
+    def roll_back(
+        self,
+        bad: VersionNumber,
+        before: VersionNumber | None,
+        base: dict[str, Any] | None,
+        digest: str,
+        text: str,
     ) -> list[Step]:
-        """The version in force did harm; the one before is in force again."""
-        self.ledger.put_back(bad, self.ledger.digest, before, digest, text)
+        """Report that the harmful version was replaced by the previous one."""
+        self.history.roll_back(bad, self.history.digest, before, digest, text)
         self.base = base
-        return [Say({"type": "back", "epoch": bad.epoch, "version": bad.version, "text": text[:500]})]
+        return [Send({"type": "back", "epoch": bad.epoch, "version": bad.version, "text": text[:500]})]
 
-    def _answer(self, arrived: Arrived, steps: list[Step]) -> list[Step]:
-        """Nothing is said on a connection that has not brought it."""
-        if self.awaited is not arrived:
+    def _answer(self, arrived: VersionReceived, steps: list[Step]) -> list[Step]:
+        """The steps of an answer; none if the version came over an earlier connection."""
+        if self.awaiting_host is not arrived:
             return []
-        self.awaited = None
+        self.awaiting_host = None
         return steps
 
-    def _ack(self, number: Number, digest: str, notes: tuple[str, ...]) -> Message:
+    def _ack(self, number: VersionNumber, digest: str, notes: tuple[str, ...]) -> Message:
         return {
             "type": "ack",
             "epoch": number.epoch,
@@ -315,13 +334,13 @@
         }
 
     def _refuse(
-        self, number: Number, digest: str, code: str, path: str, text: str, remember: bool = True
+        self, number: VersionNumber, digest: str, code: str, path: str, text: str, record: bool = True
     ) -> list[Step]:
-        if remember:
-            self.ledger.refused(number, digest, code, text)
+        if record:
+            self.history.mark_refused(number, digest, code, text)
         return [
-            Refusing(number, code, f"{path}: {text}" if path else text),
-            Say(
+            VersionRefused(number, code, f"{path}: {text}" if path else text),
+            Send(
                 {
                     "type": "refuse",
                     "epoch": number.epoch,
@@ -337,22 +356,22 @@
 # -- the service's end --------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Published:
-    """A version as a service has it."""
+    """A version as a service publishes it."""
 
-    number: Number
+    number: VersionNumber
     document: dict[str, Any]
     data: bytes
     digest: str
     signature: Signature = UNSIGNED
 
     @classmethod
-    def of(cls, number: Number, found: dict[str, Any], signature: Signature = UNSIGNED) -> Published:
+    def of(cls, number: VersionNumber, found: dict[str, Any], signature: Signature = UNSIGNED) -> Published:
         data = doc.canonical(found)
         return cls(number, found, data, doc.digest(data), signature)
 
 
-class Shelf:
-    """The newest versions of a service, for deltas between them; shared by all of its connections."""
+class VersionCache:
+    """The newest versions of a service and the deltas between them, shared by all connections."""
 
     def __init__(self) -> None:
         self._by_digest: dict[str, Published] = {}
@@ -360,13 +379,13 @@
 
     def add(self, published: Published) -> None:
         self._by_digest[published.digest] = published
-        while len(self._by_digest) > BASES:
-            gone = next(iter(self._by_digest))
-            del self._by_digest[gone]
-            self._deltas = {pair: data for pair, data in self._deltas.items() if gone not in pair}
+        while len(self._by_digest) > MAX_CACHED_VERSIONS:
+            evicted = next(iter(self._by_digest))
+            del self._by_digest[evicted]
+            self._deltas = {pair: data for pair, data in self._deltas.items() if evicted not in pair}
 
     def delta(self, base: str, target: Published) -> bytes | None:
-        """The bytes that make the target of the base, where that is shorter; each is worked out once."""
+        """The encoded delta from the base to the target if it is shorter than the target; computed once."""
         known = self._by_digest.get(base)
         if known is None or target.digest not in self._by_digest:
             return None
@@ -374,21 +393,23 @@
         if pair not in self._deltas:
             patch = doc.delta(known.document, target.document)
             made = doc.canonical(patch)
-            fits = doc.apply(known.document, patch) == target.document  # a null can't be sent so
+            fits = (
+                doc.apply(known.document, patch) == target.document
+            )  # a merge patch cannot set a value to null
             self._deltas[pair] = made if fits else target.data
         made = self._deltas[pair]
         return made if len(made) < len(target.data) else None
 
 
-class ServiceEnd:
-    """A service's side of one proxy's connection."""
+class ServiceSession:
+    """The service's end of the protocol, for one connection of a proxy."""
 
-    def __init__(self, shelf: Shelf) -> None:
+    def __init__(self, cache: VersionCache) -> None:
         self.proxy = ""
-        self.digest = ""  # of the version that the proxy has
-        self.good: Number | None = None
-        self._shelf = shelf
-        self._deltas = False
+        self.digest = ""  # of the version in force at the proxy
+        self.good: VersionNumber | None = None
+        self._cache = cache
+        self._accepts_deltas = False
         self._offered: Published | None = None
         self._data = b""
 
@@ -398,53 +419,53 @@
             if kind == "beat":
                 return []
             if kind == "hello" and not self.proxy:
-                return self._hello(message)
+                return self._receive_hello(message)
             if not self.proxy:
-                raise NonsenseError(f"{kind!r} before hello")
+                raise ProtocolError(f"{kind!r} before hello")
             match kind:
                 case "want":
-                    return self._parts(message)
+                    return self._send_parts(message)
                 case "ack":
-                    self.good, self.digest = _number(message), _text(message, "digest")
+                    self.good, self.digest = _version_number(message), _text(message, "digest")
                     notes = tuple(str(note) for note in message.get("notes") or ())
-                    return [Told("ack", self.proxy, self.good, notes=notes)]
+                    return [ProxyReport("ack", self.proxy, self.good, notes=notes)]
                 case "refuse" | "back":
                     return [
-                        Told(
+                        ProxyReport(
                             kind,
                             self.proxy,
-                            _number(message),
+                            _version_number(message),
                             _text(message, "code", ""),
                             _text(message, "path", ""),
                             _text(message, "text", ""),
                         )
                     ]
-            raise NonsenseError(f"{kind!r} is not known")
-        except NonsenseError as problem:
-            return [Hang(str(problem))]
+            raise ProtocolError(f"{kind!r} is not known")
+        except ProtocolError as problem:
+            return [Disconnect(str(problem))]
 
-    def _hello(self, message: Message) -> list[Step]:
+    def _receive_hello(self, message: Message) -> list[Step]:
         speaks = message.get("speaks")
-        if not isinstance(speaks, list) or SPEAKS not in speaks:
-            return [Hang("the proxy speaks no version of this protocol that is spoken here")]
+        if not isinstance(speaks, list) or PROTOCOL_VERSION not in speaks:
+            return [Disconnect("the proxy speaks no version of this protocol that is spoken here")]
         proxy = _text(message, "proxy")
         if not proxy:
-            raise NonsenseError("hello: a proxy needs a name")
+            raise ProtocolError("hello: a proxy needs a name")
         can = message.get("can")
-        self._deltas = isinstance(can, list) and "delta" in can
+        self._accepts_deltas = isinstance(can, list) and "delta" in can
         if "version" in message:
-            self.good, self.digest = _number(message), _text(message, "digest")
+            self.good, self.digest = _version_number(message), _text(message, "digest")
         self.proxy = proxy
-        return [Say({"type": "welcome", "speaks": SPEAKS}), Told("hello", proxy, self.good)]
+        return [Send({"type": "welcome", "speaks": PROTOCOL_VERSION}), ProxyReport("hello", proxy, self.good)]
 
     def offer(self, published: Published, whole: bool = False) -> list[Step]:
-        """Tell of a version; as a delta where the proxy can take one."""
-        data = self._shelf.delta(self.digest, published) if self._deltas and not whole else None
+        """Offer a version, as a delta if the proxy supports deltas and one is available."""
+        data = self._cache.delta(self.digest, published) if self._accepts_deltas and not whole else None
         form = "whole" if data is None else "delta"
         self._offered, self._data = published, published.data if data is None else data
         number, signature = published.number, published.signature
         return [
-            Say(
+            Send(
                 {
                     "type": "offer",
                     "epoch": number.epoch,
@@ -462,25 +483,25 @@
             )
         ]
 
-    def _parts(self, message: Message) -> list[Step]:
-        number, begin = _number(message), _count(message, "from")
-        most = min(WINDOW, _count(message, "most"))
+    def _send_parts(self, message: Message) -> list[Step]:
+        number, begin = _version_number(message), _integer(message, "from")
+        most = min(WINDOW_PARTS, _integer(message, "most"))
         if self._offered is None or number != self._offered.number:
-            return []  # overtaken by a newer offer
+            return []  # superseded by a newer offer
         if message.get("whole") is True and self._data is not self._offered.data:
             return self.offer(self._offered, whole=True)
         return [
-            Say(
+            Send(
                 {
                     "type": "part",
                     "epoch": number.epoch,
                     "version": number.version,
-                    "number": place,
+                    "number": index,
                     "data": base64.b64encode(
-                        self._data[place * PART_BYTES : (place + 1) * PART_BYTES]
+                        self._data[index * PART_BYTES : (index + 1) * PART_BYTES]
                     ).decode(),
                 }
             )
-            for place in range(begin, begin + most)
-            if place * PART_BYTES < len(self._data)
+            for index in range(begin, begin + most)
+            if index * PART_BYTES < len(self._data)
         ]
--- a/capershelf/stream/rollout.py
+++ b/capershelf/stream/rollout.py
@@ -13,7 +13,7 @@
 
 from blake3 import blake3
 
-from capershelf.stream.ledger import Number
+from capershelf.stream.ledger import VersionNumber
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 class Rollout:
     """One version on its way through the fleet."""
 
-    number: Number
+    number: VersionNumber
     plan: Plan
     stage: int = 0
     halted: str = ""
--- a/capershelf/stream/service.py
+++ b/capershelf/stream/service.py
@@ -27,24 +27,24 @@
 from capershelf.net.websocket import WebSocket
 from capershelf.stream import document as doc
 from capershelf.stream import protocol
-from capershelf.stream.ledger import Number
+from capershelf.stream.ledger import VersionNumber
 from capershelf.stream.rollout import Plan, Rollout
 from capershelf.stream.signing import Signature
 
 SCAN_MS = 200.0
-SILENT_MS = 4.0 * protocol.BEAT_MS
+SILENT_MS = 4.0 * protocol.HEARTBEAT_MS
 HANDSHAKE_MS = 3000.0
 NAME = re.compile(r"(\d{1,15})\.(\d{1,15})\.json")
 STATE, STATE_NEW = "state.json", "state.new"
 
 
-def versions_in(folder: Path) -> list[Number]:
+def versions_in(folder: Path) -> list[VersionNumber]:
     """The numbers of all versions there, in their order."""
     found = (NAME.fullmatch(path.name) for path in folder.iterdir())
-    return sorted(Number(int(match[1]), int(match[2])) for match in found if match)
+    return sorted(VersionNumber(int(match[1]), int(match[2])) for match in found if match)
 
 
-def read_version(folder: Path, number: Number) -> protocol.Published:
+def read_version(folder: Path, number: VersionNumber) -> protocol.Published:
     """A version with its signature; ValueError where one of its files can't be read."""
     try:
         found = doc.read((folder / f"{number}.json").read_bytes())
@@ -84,7 +84,7 @@
     """A proxy's connection."""
 
     connection: Connection
-    end: protocol.ServiceEnd
+    end: protocol.ServiceSession
     heard_ms: float
     offered: str = ""  # digest
 
@@ -118,14 +118,14 @@
             identity.context(server=True)  # a file that can't be used is named before the first proxy comes
         self._sock = socket.create_server(parse_endpoint(listen), backlog=512)
         self.port: int = self._sock.getsockname()[1]
-        self._shelf = protocol.Shelf()
+        self._shelf = protocol.VersionCache()
         self._peers: dict[int, Peer] = {}
         self._count = 0
         self.fleet = Fleet()
         self._rollout: Rollout | None = None
         self._newest: protocol.Published | None = None
         self._before: protocol.Published | None = None
-        self._unreadable: set[Number] = set()
+        self._unreadable: set[VersionNumber] = set()
         self._scan_ms = 0.0
         self._stamp = 0  # of the newest version's signature
         self._state = ""
@@ -181,7 +181,7 @@
             if self._changed:  # not at each message: guards a large fleet's service from its own file
                 self._write_state()
             for peer in list(self._peers.values()):
-                if now_ms - peer.heard_ms >= protocol.BEAT_MS / 2:
+                if now_ms - peer.heard_ms >= protocol.HEARTBEAT_MS / 2:
                     peer.heard_ms = now_ms
                     peer.connection.send(protocol.encode({"type": "beat"}))
 
@@ -212,22 +212,22 @@
             heard[0] + HANDSHAKE_MS,
             read_deadline=lambda partial_since_ms: heard[0] + SILENT_MS,
         )
-        self._peers[number] = Peer(connection, protocol.ServiceEnd(self._shelf), heard[0])
+        self._peers[number] = Peer(connection, protocol.ServiceSession(self._shelf), heard[0])
         connection.start()
 
     def _line(self, peer: Peer, data: bytes) -> None:
         try:
             steps = peer.end.receive(protocol.decode(data))
-        except protocol.NonsenseError as problem:
-            steps = [protocol.Hang(str(problem))]
+        except protocol.ProtocolError as problem:
+            steps = [protocol.Disconnect(str(problem))]
         self._carry_out(peer, steps)
 
     def _carry_out(self, peer: Peer, steps: list[protocol.Step]) -> None:
         for step in steps:
             match step:
-                case protocol.Say(message):
+                case protocol.Send(message):
                     peer.connection.send(protocol.encode(message))
-                case protocol.Hang(reason):
+                case protocol.Disconnect(reason):
                     logger.warning(
                         "control: {proxy} hung up on: {reason}",
                         event="control-hung-up",
@@ -235,14 +235,14 @@
                         reason=reason,
                     )
                     peer.connection.close()
-                case protocol.Told():
+                case protocol.ProxyReport():
                     self._told(peer, step)
 
     # -- versions -------------------------------------------------------------------------------------
     def _scan(self) -> None:
         self._look_at_signature()
         for number in versions_in(self._folder):
-            newest = self._newest.number if self._newest is not None else Number(0, 0)
+            newest = self._newest.number if self._newest is not None else VersionNumber(0, 0)
             if number <= newest or number in self._unreadable:
                 continue
             try:
@@ -318,7 +318,7 @@
         peer.offered = target.digest
         self._carry_out(peer, peer.end.offer(target))
 
-    def _told(self, peer: Peer, told: protocol.Told) -> None:
+    def _told(self, peer: Peer, told: protocol.ProxyReport) -> None:
         now_ms = self._clock.now_ms()
         self._changed = True
         number = str(told.number) if told.number is not None else ""
@@ -365,7 +365,7 @@
             found = doc.read((self._folder / STATE).read_bytes())
             self.fleet.proxies = {str(k): dict(v) | {"connected": False} for k, v in found["proxies"].items()}
             if (told := found.get("rollout")) is not None:
-                number = Number(int(told["epoch"]), int(told["version"]))
+                number = VersionNumber(int(told["epoch"]), int(told["version"]))
                 acked = {str(k): float(v) for k, v in told["acked"].items()}
                 stage = min(int(told["stage"]), len(self._plan.stages) - 1)
                 self._rollout = Rollout(number, self._plan, stage, str(told["halted"]), acked)
--- a/capershelf/stream/signing.py
+++ b/capershelf/stream/signing.py
@@ -14,7 +14,7 @@
 from cryptography.exceptions import InvalidSignature
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
-from capershelf.stream.ledger import Number
+from capershelf.stream.ledger import VersionNumber
 
 TAG = "capershelf-version-1"
 KEY_BYTES = 32
@@ -39,12 +39,14 @@
     revoked: bool = False
 
 
-def statement(number: Number, digest: str, expires_ms: float) -> bytes:
+def statement(number: VersionNumber, digest: str, expires_ms: float) -> bytes:
     """The bytes that are signed."""
     return f"{TAG}\n{number.epoch}\n{number.version}\n{digest}\n{expires_ms:.0f}\n".encode()
 
 
-def sign(private: Ed25519PrivateKey, name: str, number: Number, digest: str, expires_ms: float) -> Signature:
+def sign(
+    private: Ed25519PrivateKey, name: str, number: VersionNumber, digest: str, expires_ms: float
+) -> Signature:
     return Signature(name, expires_ms, private.sign(statement(number, digest, expires_ms)).hex())
 
 
@@ -54,7 +56,9 @@
     def __init__(self, keys: tuple[Key, ...]) -> None:
         self._keys = {key.name: key for key in keys}
 
-    def fault(self, number: Number, digest: str, signature: Signature, now_ms: float) -> tuple[str, str]:
+    def fault(
+        self, number: VersionNumber, digest: str, signature: Signature, now_ms: float
+    ) -> tuple[str, str]:
         """A code and a text for what is wrong with the signature; empty: nothing."""
         if not signature.value:
             return "unsigned", f"{number} has no signature"
--- a/lab/capacity/control_role.py
+++ b/lab/capacity/control_role.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from capershelf.stream import document
-from capershelf.stream.ledger import Number
+from capershelf.stream.ledger import VersionNumber
 from lab import stream
 from lab.capacity import followers
 from lab.capacity.hollow import HollowProcess
@@ -89,8 +89,8 @@
         self._temporary.cleanup()
 
     @property
-    def newest(self) -> Number:
-        return Number(1, self._last)
+    def newest(self) -> VersionNumber:
+        return VersionNumber(1, self._last)
 
     def publish(self) -> None:
         """Put the next version into the service's folder, whole at once."""
--- a/lab/capacity/followers.py
+++ b/lab/capacity/followers.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from capershelf.stream import protocol
-from capershelf.stream.ledger import Ledger, Number
+from capershelf.stream.ledger import VersionHistory, VersionNumber
 from capershelf.stream.order import Order
 from lab.capacity.event_loop import EventLoop, LineChannel
 
@@ -36,7 +36,7 @@
 class GetProgress:
     """Answered with Progress towards this version."""
 
-    number: Number
+    number: VersionNumber
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,8 +66,8 @@
     seed: int
     life: int = 0
     channel: LineChannel | None = None
-    taken_s: dict[Number, float] = field(default_factory=dict)
-    end: protocol.ProxyEnd = field(init=False)
+    taken_s: dict[VersionNumber, float] = field(default_factory=dict)
+    end: protocol.ProxySession = field(init=False)
     order: Order = field(init=False)
 
 
@@ -82,7 +82,7 @@
         self._followers = [Follower(f"proxy-{number:04d}", number) for number in range(options.count)]
         for follower in self._followers:
             self._begin(follower)
-        loop.call_later(protocol.BEAT_MS / 1000.0, self._beat)
+        loop.call_later(protocol.HEARTBEAT_MS / 1000.0, self._beat)
 
     def command(self, command: Any) -> Any:
         match command:
@@ -95,7 +95,7 @@
                 return self._progress(number)
         raise TypeError(f"unknown command {command!r}")
 
-    def _progress(self, number: Number) -> Progress:
+    def _progress(self, number: VersionNumber) -> Progress:
         taken = [one.taken_s[number] for one in self._followers if number in one.taken_s]
         channels = [one.channel for one in self._followers if one.channel is not None]
         return Progress(
@@ -107,7 +107,7 @@
         )
 
     def _begin(self, follower: Follower) -> None:
-        follower.end = protocol.ProxyEnd(follower.name, "lab", Ledger(), None)
+        follower.end = protocol.ProxySession(follower.name, "lab", VersionHistory(), None)
         follower.order = Order((self._address,), follower.seed)
         follower.taken_s.clear()
         self._connect_next(follower)
@@ -166,15 +166,15 @@
     def _carry_out(self, follower: Follower, steps: list[protocol.Step]) -> None:
         for step in steps:
             match step:
-                case protocol.Say(said) if follower.channel is not None:
+                case protocol.Send(said) if follower.channel is not None:
                     follower.channel.send(protocol.encode(said) + b"\n")
-                case protocol.Arrived():
+                case protocol.VersionReceived():
                     follower.taken_s[step.number] = time.monotonic()
-                    self._carry_out(follower, follower.end.taken(step, ()))
+                    self._carry_out(follower, follower.end.accept(step, ()))
 
     def _beat(self) -> None:
         for follower in self._followers:
             if follower.channel is not None:
                 with contextlib.suppress(OSError):
                     follower.channel.send(protocol.encode({"type": "beat"}) + b"\n")
-        self._loop.call_later(protocol.BEAT_MS / 1000.0, self._beat)
+        self._loop.call_later(protocol.HEARTBEAT_MS / 1000.0, self._beat)
--- a/lab/fuzz.py
+++ b/lab/fuzz.py
@@ -9,7 +9,7 @@
 import numpy as np
 
 from capershelf.stream import protocol as p
-from capershelf.stream.ledger import Ledger, Number
+from capershelf.stream.ledger import VersionHistory, VersionNumber
 
 NUMBERS = (b"0", b"-1", b"1e999", b"9007199254740993", b"null", b"[]", b'"x"', b"true", b"9" * 20)
 
@@ -37,13 +37,13 @@
 
 def talk(rng: np.random.Generator, breaks: float) -> int:
     """One conversation; how many messages passed.  AssertionError for what must not be."""
-    shelf, published = p.Shelf(), []
+    shelf, published = p.VersionCache(), []
     for number in range(1, 4):
         pad = rng.bytes(int(rng.integers(0, 12_000))).hex()
-        published.append(p.Published.of(Number(1, number), {"n": number, "pad": pad}))
+        published.append(p.Published.of(VersionNumber(1, number), {"n": number, "pad": pad}))
         shelf.add(published[-1])
-    mine, theirs = p.ProxyEnd("p", "lab", Ledger(), None), p.ServiceEnd(shelf)
-    to_service = [p.encode(s.message) for s in mine.connected("s") if isinstance(s, p.Say)]
+    mine, theirs = p.ProxySession("p", "lab", VersionHistory(), None), p.ServiceSession(shelf)
+    to_service = [p.encode(s.message) for s in mine.connected("s") if isinstance(s, p.Send)]
     to_proxy: list[bytes] = []
     passed, offered = 0, 0
     while passed < 200 and (to_service or to_proxy or offered < len(published)):
@@ -58,15 +58,15 @@
             passed += 1
             try:
                 message = p.decode(line)
-            except p.NonsenseError:
+            except p.ProtocolError:
                 continue
             steps = theirs.receive(message) if back else mine.receive(message, 0.0)
             out = to_proxy if back else to_service
         for step in steps:
-            if isinstance(step, p.Arrived):
+            if isinstance(step, p.VersionReceived):
                 assert step.document in [one.document for one in published], "a version nobody published"
-                steps = [*steps, *mine.taken(step, ())]
-        out += [p.encode(step.message) for step in steps if isinstance(step, p.Say)]
+                steps = [*steps, *mine.accept(step, ())]
+        out += [p.encode(step.message) for step in steps if isinstance(step, p.Send)]
     return passed
 
 
--- a/lab/stream.py
+++ b/lab/stream.py
@@ -15,7 +15,7 @@
 
 from capershelf.stream import document as doc
 from capershelf.stream import protocol as p
-from capershelf.stream.ledger import Ledger, Number
+from capershelf.stream.ledger import VersionHistory, VersionNumber
 from lab.engine import Engine
 
 WAY_MS = 5.0
@@ -51,14 +51,14 @@
     def __init__(self, proxies: int, seed: int) -> None:
         self.engine = Engine(0.0)
         self.rng = np.random.Generator(np.random.PCG64(seed))
-        self.shelf = p.Shelf()
+        self.shelf = p.VersionCache()
         self.bytes = 0
         self.arrived: dict[tuple[int, str], float] = {}
         self.busy_ms = 0.0  # until when the service works
         self.acked: dict[str, float] = {}
-        self.wanted = Number(0, 0)
-        self.proxies = [p.ProxyEnd(f"p{n}", "lab", Ledger(), None) for n in range(proxies)]
-        self.ends = [p.ServiceEnd(self.shelf) for _ in self.proxies]
+        self.wanted = VersionNumber(0, 0)
+        self.proxies = [p.ProxySession(f"p{n}", "lab", VersionHistory(), None) for n in range(proxies)]
+        self.ends = [p.ServiceSession(self.shelf) for _ in self.proxies]
         for n, proxy in enumerate(self.proxies):
             self.from_proxy(n, proxy.connected("s"))
         self.engine.run(self.engine.now_ms + 1000.0)
@@ -71,11 +71,11 @@
 
     def from_proxy(self, n: int, steps: list[p.Step]) -> None:
         for step in steps:
-            if isinstance(step, p.Say):
+            if isinstance(step, p.Send):
                 at_ms = self._way(n, "from", self.engine.now_ms)
                 self.engine.at(at_ms, self.at_service, n, p.encode(step.message))
-            elif isinstance(step, p.Arrived):
-                self.from_proxy(n, self.proxies[n].taken(step, ()))
+            elif isinstance(step, p.VersionReceived):
+                self.from_proxy(n, self.proxies[n].accept(step, ()))
 
     def at_service(self, n: int, line: bytes) -> None:
         self.busy_ms = max(self.busy_ms, self.engine.now_ms) + SERVICE_US / 1000.0
@@ -86,12 +86,12 @@
 
     def from_service(self, n: int, steps: list[p.Step]) -> None:
         for step in steps:
-            if isinstance(step, p.Say):
+            if isinstance(step, p.Send):
                 line = p.encode(step.message)
                 self.bytes += len(line)
                 self.busy_ms = max(self.busy_ms, self.engine.now_ms) + SERVICE_US / 1000.0
                 self.engine.at(self._way(n, "to", self.busy_ms), self.at_proxy, n, line)
-            elif isinstance(step, p.Told) and step.kind == "ack" and step.number == self.wanted:
+            elif isinstance(step, p.ProxyReport) and step.kind == "ack" and step.number == self.wanted:
                 self.acked.setdefault(step.proxy, self.engine.now_ms)
 
     def at_proxy(self, n: int, line: bytes) -> None:
@@ -99,7 +99,7 @@
 
     def push(self, version: int, whole: bool = False) -> dict[str, float]:
         """Publish; how long until the last proxy has acknowledged, and how many bytes went out for it."""
-        published = p.Published.of(Number(1, version), settings(version))
+        published = p.Published.of(VersionNumber(1, version), settings(version))
         self.shelf.add(published)
         self.wanted, self.acked, before = published.number, {}, self.bytes
         began_ms = self.engine.now_ms
@@ -119,7 +119,7 @@
     tracemalloc.start()
     held = []
     for version in range(1, versions + 1):
-        published = p.Published.of(Number(1, version), settings(version))
+        published = p.Published.of(VersionNumber(1, version), settings(version))
         fleet.shelf.add(published)
         fleet.wanted = published.number
         fleet.from_service(0, fleet.ends[0].offer(published))
@@ -127,7 +127,7 @@
         if version in (versions // 10, versions):
             held.append(tracemalloc.get_traced_memory()[0] / 1024.0)
     tracemalloc.stop()
-    assert fleet.proxies[0].ledger.good == Number(1, versions)
+    assert fleet.proxies[0].history.good == VersionNumber(1, versions)
     return {"versions": versions, "early_kb": round(held[0], 1), "late_kb": round(held[1], 1)}
 
 
--- a/tests/test_stream_decisions.py
+++ b/tests/test_stream_decisions.py
@@ -17,7 +17,7 @@
 from capershelf.stream import document as doc
 from capershelf.stream import standing, takeover
 from capershelf.stream.fields import When, changes, keep_until_start
-from capershelf.stream.ledger import Ledger, Number
+from capershelf.stream.ledger import VersionHistory, VersionNumber
 from capershelf.stream.order import MOST_MS, Order
 from capershelf.stream.probation import Measure, Probation, Terms
 from capershelf.stream.rollout import Plan, Rollout
@@ -178,23 +178,23 @@
 
 
 def test_the_ledger_believes_no_older_number_and_neither_of_two_that_disagree() -> None:
-    ledger = Ledger(Number(2, 5), "five")
-    assert ledger.judge(Number(2, 5), "five", "a").have
-    assert ledger.judge(Number(2, 5), "other", "a").code == "disagree"
-    assert ledger.judge(Number(2, 4), "four", "a").code == "old-version"
-    assert ledger.judge(Number(1, 9), "nine", "a").code == "old-epoch"
-    assert ledger.judge(Number(3, 1), "one", "a").fetch  # numbers that begin again, under a new epoch
-    assert ledger.judge(Number(2, 6), "six", "a").fetch
-    verdict = ledger.judge(Number(2, 6), "SIX", "b")
+    history = VersionHistory(VersionNumber(2, 5), "five")
+    assert history.evaluate_offer(VersionNumber(2, 5), "five", "a").in_force
+    assert history.evaluate_offer(VersionNumber(2, 5), "other", "a").code == "disagree"
+    assert history.evaluate_offer(VersionNumber(2, 4), "four", "a").code == "old-version"
+    assert history.evaluate_offer(VersionNumber(1, 9), "nine", "a").code == "old-epoch"
+    assert history.evaluate_offer(VersionNumber(3, 1), "one", "a").fetch  # restarted under a new epoch
+    assert history.evaluate_offer(VersionNumber(2, 6), "six", "a").fetch
+    verdict = history.evaluate_offer(VersionNumber(2, 6), "SIX", "b")
     assert verdict.code == "disagree"
     assert "a and b" in verdict.text
-    assert ledger.judge(Number(2, 6), "six", "a").code == "disagree"
-    ledger.refused(Number(2, 7), "seven", "release-gap", "too short")
-    assert ledger.judge(Number(2, 7), "seven", "a").code == "release-gap"
-    ledger.taken(Number(2, 8), "eight")
-    ledger.put_back(Number(2, 8), "eight", Number(2, 5), "five", "harm")
-    assert ledger.judge(Number(2, 8), "eight", "a").code == "put-back"
-    assert ledger.judge(Number(2, 9), "nine", "a").fetch
+    assert history.evaluate_offer(VersionNumber(2, 6), "six", "a").code == "disagree"
+    history.mark_refused(VersionNumber(2, 7), "seven", "release-gap", "too short")
+    assert history.evaluate_offer(VersionNumber(2, 7), "seven", "a").code == "release-gap"
+    history.mark_accepted(VersionNumber(2, 8), "eight")
+    history.roll_back(VersionNumber(2, 8), "eight", VersionNumber(2, 5), "five", "harm")
+    assert history.evaluate_offer(VersionNumber(2, 8), "eight", "a").code == "put-back"
+    assert history.evaluate_offer(VersionNumber(2, 9), "nine", "a").fetch
 
 
 def test_services_are_tried_in_turn_and_then_ever_more_seldom() -> None:
@@ -225,15 +225,17 @@
         Key("gone", private.public_key(), revoked=True),
     ]
     ring = KeyRing(tuple(keys))
-    number = Number(1, 7)
+    number = VersionNumber(1, 7)
     good = sign(private, "k", number, "digest", 100.0)
 
-    def code(signature: Signature, now_ms: float = 60.0, at: Number = number, text: str = "digest") -> str:
+    def code(
+        signature: Signature, now_ms: float = 60.0, at: VersionNumber = number, text: str = "digest"
+    ) -> str:
         return ring.fault(at, text, signature, now_ms)[0]
 
     assert code(good) == ""
     assert code(good, now_ms=101.0) == "expired"
-    assert code(good, at=Number(1, 8)) == code(good, text="other") == "bad-signature"
+    assert code(good, at=VersionNumber(1, 8)) == code(good, text="other") == "bad-signature"
     assert code(Signature("k", 200.0, good.value)) == "bad-signature"  # its time can't be put off
     assert code(Signature("k", 100.0, "zz")) == "bad-signature"
     assert code(Signature()) == "unsigned"
@@ -245,7 +247,7 @@
 
 def test_a_roll_out_goes_by_stages_and_halts_at_the_first_refusal() -> None:
     proxies = {f"p{n}" for n in range(10)}
-    rollout = Rollout(Number(1, 2), Plan((0.1, 0.5, 1.0), 100.0))
+    rollout = Rollout(VersionNumber(1, 2), Plan((0.1, 0.5, 1.0), 100.0))
     first = rollout.chosen(proxies)
     assert len(first) == 1
     assert not rollout.advance(proxies, proxies, 0.0)
--- a/tests/test_stream_protocol.py
+++ b/tests/test_stream_protocol.py
@@ -14,29 +14,29 @@
 
 from capershelf.stream import document as doc
 from capershelf.stream import protocol as p
-from capershelf.stream.ledger import Ledger, Number
+from capershelf.stream.ledger import VersionHistory, VersionNumber
 
 NOW_MS = 1e12
 
 
 def version(number: int, size: int = 0, epoch: int = 1) -> p.Published:
     pad = random.Random(number).randbytes(size).hex()
-    return p.Published.of(Number(epoch, number), {"n": number, "pad": pad})
+    return p.Published.of(VersionNumber(epoch, number), {"n": number, "pad": pad})
 
 
-def proxy(ledger: Ledger | None = None) -> p.ProxyEnd:
-    return p.ProxyEnd("p1", "0.2.0", ledger or Ledger(), None)
+def proxy(ledger: VersionHistory | None = None) -> p.ProxySession:
+    return p.ProxySession("p1", "0.2.0", ledger or VersionHistory(), None)
 
 
 def says(steps: list[p.Step]) -> list[p.Message]:
-    return [json.loads(p.encode(step.message)) for step in steps if isinstance(step, p.Say)]
+    return [json.loads(p.encode(step.message)) for step in steps if isinstance(step, p.Send)]
 
 
 class Wire:
     """A connection between the two ends; what each says waits until it is delivered."""
 
-    def __init__(self, mine: p.ProxyEnd, shelf: p.Shelf) -> None:
-        self.mine, self.theirs = mine, p.ServiceEnd(shelf)
+    def __init__(self, mine: p.ProxySession, shelf: p.VersionCache) -> None:
+        self.mine, self.theirs = mine, p.ServiceSession(shelf)
         self.to_proxy: list[p.Message] = []
         self.news: list[p.Step] = []
         self.hung = False
@@ -49,8 +49,8 @@
 
     def put(self, steps: list[p.Step], to_proxy: bool) -> None:
         (self.to_proxy if to_proxy else self.to_service).extend(says(steps))
-        self.news += [step for step in steps if not isinstance(step, p.Say)]
-        self.hung |= any(isinstance(step, p.Hang) for step in steps)
+        self.news += [step for step in steps if not isinstance(step, p.Send)]
+        self.hung |= any(isinstance(step, p.Disconnect) for step in steps)
 
     def offer(self, published: p.Published) -> None:
         self.put(self.theirs.offer(published), True)
@@ -63,13 +63,13 @@
                 self.put(self.theirs.receive(self.to_service.pop(0)), True)
             else:
                 self.put(self.mine.receive(self.to_proxy.pop(0), NOW_MS), False)
-            for step in [one for one in self.news if isinstance(one, p.Arrived)]:
+            for step in [one for one in self.news if isinstance(one, p.VersionReceived)]:
                 self.news.remove(step)
-                self.put(self.mine.taken(step, ()), False)
+                self.put(self.mine.accept(step, ()), False)
 
 
-def shelf_of(*versions: p.Published) -> p.Shelf:
-    shelf = p.Shelf()
+def shelf_of(*versions: p.Published) -> p.VersionCache:
+    shelf = p.VersionCache()
     for one in versions:
         shelf.add(one)
     return shelf
@@ -77,18 +77,18 @@
 
 def test_a_version_in_many_parts_is_taken_and_the_next_comes_as_a_delta() -> None:
     big = version(1, 150_000)
-    small = p.Published.of(Number(1, 2), big.document | {"n": 2})
+    small = p.Published.of(VersionNumber(1, 2), big.document | {"n": 2})
     mine = proxy()
     wire = Wire(mine, shelf_of(big, small))
     wire.offer(big)
     wire.deliver()
-    assert (mine.ledger.good, mine.base) == (Number(1, 1), big.document)
+    assert (mine.history.good, mine.base) == (VersionNumber(1, 1), big.document)
     wire.offer(small)
     assert wire.to_proxy[-1]["form"] == "delta"
     assert wire.to_proxy[-1]["length"] < 100
     wire.deliver()
-    assert (mine.ledger.good, mine.base) == (Number(1, 2), small.document)
-    assert [step.kind for step in wire.news if isinstance(step, p.Told)] == ["hello", "ack", "ack"]
+    assert (mine.history.good, mine.base) == (VersionNumber(1, 2), small.document)
+    assert [step.kind for step in wire.news if isinstance(step, p.ProxyReport)] == ["hello", "ack", "ack"]
 
 
 def test_after_a_break_only_the_rest_is_asked_for() -> None:
@@ -108,7 +108,7 @@
 
 def test_a_delta_against_a_base_that_is_not_there_is_asked_for_whole() -> None:
     one, two = version(1, 3000), version(2, 3000)
-    two = p.Published.of(Number(1, 2), one.document | {"n": 2})
+    two = p.Published.of(VersionNumber(1, 2), one.document | {"n": 2})
     mine = proxy()
     wire = Wire(mine, shelf_of(one, two))
     wire.offer(one)
@@ -117,7 +117,7 @@
     wire.offer(two)
     wire.deliver()
     assert mine.base == two.document
-    liar = p.ServiceEnd(shelf_of(one, two))
+    liar = p.ServiceSession(shelf_of(one, two))
     liar.receive(
         {
             "type": "hello",
@@ -137,7 +137,7 @@
     assert want["whole"] is True
 
 
-def ready(ledger: Ledger | None = None) -> p.ProxyEnd:
+def ready(ledger: VersionHistory | None = None) -> p.ProxySession:
     mine = proxy(ledger)
     mine.connected("s")
     mine.receive({"type": "welcome", "speaks": 1}, NOW_MS)
@@ -145,7 +145,7 @@
 
 
 def offer_of(published: p.Published, **changes: Any) -> p.Message:
-    theirs = p.ServiceEnd(shelf_of(published))
+    theirs = p.ServiceSession(shelf_of(published))
     return says(theirs.offer(published))[0] | changes
 
 
@@ -177,7 +177,7 @@
     found: list[p.Step] = []
     for number in range(10):
         found += mine.receive(part(one, number), NOW_MS)
-    assert any(isinstance(step, p.Arrived) for step in found)
+    assert any(isinstance(step, p.VersionReceived) for step in found)
 
 
 @pytest.mark.parametrize(
@@ -192,7 +192,7 @@
     one, mine = version(1), ready()
     steps = mine.receive(offer_of(one, **changes), NOW_MS) + mine.receive(part(one, 0), NOW_MS)
     assert [message["code"] for message in says(steps) if message["type"] == "refuse"] == [code]
-    assert mine.ledger.good is None
+    assert mine.history.good is None
 
 
 @pytest.mark.parametrize(
@@ -213,21 +213,21 @@
 )
 def test_nonsense_ends_the_connection(changes: p.Message) -> None:
     steps = ready().receive(offer_of(version(1), **changes), NOW_MS)
-    assert [type(step) for step in steps] == [p.Hang]
+    assert [type(step) for step in steps] == [p.Disconnect]
 
 
 def test_only_the_newest_of_thousands_matters_and_memory_stays_bounded() -> None:
-    mine, shelf = ready(), p.Shelf()
+    mine, shelf = ready(), p.VersionCache()
     for number in range(1, 3000):
         one = version(number, 20)
         shelf.add(one)
         mine.receive(offer_of(one), NOW_MS)
         assert mine.fetch is not None
         assert mine.fetch.number == one.number
-    assert len(mine.ledger._seen) <= 64
-    assert len(shelf._by_digest) <= p.BASES
+    assert len(mine.history._seen) <= 64
+    assert len(shelf._by_digest) <= p.MAX_CACHED_VERSIONS
     found = mine.receive(part(version(2999, 20), 0), NOW_MS)
-    assert isinstance(found[0], p.Arrived)
+    assert isinstance(found[0], p.VersionReceived)
 
 
 # Written out: hypothesis derives the seed from the test's source text otherwise, so a rename changes it.
@@ -270,17 +270,17 @@
     )
 )
 def test_nothing_that_comes_makes_either_end_raise_or_take_anything(lines: list[bytes]) -> None:
-    mine, theirs = ready(Ledger(Number(1, 3), "three")), p.ServiceEnd(shelf_of(version(1)))
+    mine, theirs = ready(VersionHistory(VersionNumber(1, 3), "three")), p.ServiceSession(shelf_of(version(1)))
     theirs.offer(version(1))
     for line in lines:
         try:
             message = p.decode(line)
-        except p.NonsenseError:
+        except p.ProtocolError:
             continue
         steps = mine.receive(message, NOW_MS)
-        assert not any(isinstance(step, p.Arrived) for step in steps)
+        assert not any(isinstance(step, p.VersionReceived) for step in steps)
         theirs.receive(message)
-    assert mine.ledger.good == Number(1, 3)
+    assert mine.history.good == VersionNumber(1, 3)
 
 
 @seed(0x62403CA0E1150C22FF8118BA5F9E1580D97CCE1BA368326BC622B3E0F7F8A0A567B4ABE761EDFFF3EF5010016ABCFE15)
@@ -289,7 +289,7 @@
 
     @initialize()
     def begin(self) -> None:
-        self.shelf = p.Shelf()
+        self.shelf = p.VersionCache()
         self.mine = proxy()
         self.published: list[p.Published] = []
         self.good: p.Published | None = None
@@ -306,7 +306,7 @@
         number = len(self.published) + 1
         one = version(number, size)
         if near and self.good is not None:
-            one = p.Published.of(Number(1, number), self.good.document | {"n": number})
+            one = p.Published.of(VersionNumber(1, number), self.good.document | {"n": number})
         if bad:
             self.bad.add(one.digest)
         self.published.append(one)
@@ -331,7 +331,7 @@
 
     def take(self, wire: Wire, steps: list[p.Step]) -> None:
         for step in steps:
-            if isinstance(step, p.Arrived):
+            if isinstance(step, p.VersionReceived):
                 source = next(one for one in self.published if one.number == step.number)
                 assert step.document == source.document
                 assert self.good is None or step.number > self.good.number
@@ -339,7 +339,7 @@
                     wire.put(self.mine.refuse(step, "rule", "a.b", "no"), False)
                 else:
                     self.good = source
-                    wire.put(self.mine.taken(step, ()), False)
+                    wire.put(self.mine.accept(step, ()), False)
             else:
                 wire.put([step], False)
 
@@ -360,10 +360,10 @@
         if not hasattr(self, "mine"):
             return
         wanted = None if self.good is None else self.good.number
-        assert self.mine.ledger.good == wanted
+        assert self.mine.history.good == wanted
         if self.good is not None:
             assert self.mine.base == self.good.document
-            assert self.mine.ledger.digest == doc.digest(doc.canonical(self.mine.base))
+            assert self.mine.history.digest == doc.digest(doc.canonical(self.mine.base))
 
     def teardown(self) -> None:
         """Whatever went before, a good version comes through on a sound connection."""
--- a/tests/test_stream_running.py
+++ b/tests/test_stream_running.py
@@ -31,7 +31,7 @@
 from capershelf.stream import follower
 from capershelf.stream import protocol as p
 from capershelf.stream.keep import Keep
-from capershelf.stream.ledger import Ledger, Number
+from capershelf.stream.ledger import VersionHistory, VersionNumber
 from capershelf.stream.rollout import Plan
 from capershelf.stream.service import ControlService, End, versions_in
 from capershelf.stream.signing import Key, KeyRing, sign
@@ -190,7 +190,7 @@
     outcomes = [load.outcomes[call] for call in load.taken]
     assert max(map(len, outcomes)) == 1
     assert sum(one == ["answer"] for one in outcomes) > 60
-    assert Keep(Folder(kept), "gate-proxy-1").load()[0].number == Number(1, 8)  # type: ignore[union-attr]
+    assert Keep(Folder(kept), "gate-proxy-1").load()[0].number == VersionNumber(1, 8)  # type: ignore[union-attr]
 
 
 class Liar:
@@ -200,7 +200,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         self.cut = 0
-        self.published = p.Published.of(Number(1, 999), {"settings": {}, "pad": "x" * 50_000})
+        self.published = p.Published.of(VersionNumber(1, 999), {"settings": {}, "pad": "x" * 50_000})
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
@@ -210,9 +210,9 @@
             except OSError:
                 return
             sock.recv(4096)
-            shelf = p.Shelf()
-            end = p.ServiceEnd(shelf)
-            say = [step.message for step in end.offer(self.published) if isinstance(step, p.Say)]
+            shelf = p.VersionCache()
+            end = p.ServiceSession(shelf)
+            say = [step.message for step in end.offer(self.published) if isinstance(step, p.Send)]
             part = {"type": "part", "epoch": 1, "version": 999, "number": 0, "data": "AAAA" * 2000}
             lines = [p.encode(one) + b"\n" for one in ({"type": "welcome", "speaks": 1}, *say, part)]
             data = b"".join(lines)
@@ -467,7 +467,7 @@
     seen: set[str] = set()
     until(lambda: [offered(name) for name in heard].count(True) == 1)
     [first] = seen
-    digest = p.Published.of(Number(1, 1), attempts(4)).digest
+    digest = p.Published.of(VersionNumber(1, 1), attempts(4)).digest
     connection = peers["abc".index(first)]
     connection.send(p.encode({"type": "ack", "epoch": 1, "version": 1, "digest": digest, "notes": []}))
     until(lambda: [offered(name) for name in heard].count(True) == 3)
@@ -486,7 +486,7 @@
     run, file = CliRunner(), tmp_path / "one.txt"
     assert [push(tmp_path, {}) for _ in range(2)] == ["1.1", "1.2"]
     assert push(tmp_path, {}, "--epoch", "7") == "7.1"
-    assert versions_in(tmp_path) == [Number(1, 1), Number(1, 2), Number(7, 1)]
+    assert versions_in(tmp_path) == [VersionNumber(1, 1), VersionNumber(1, 2), VersionNumber(7, 1)]
     file.write_text("{}")
     assert run.invoke(main, ["control", "push", str(tmp_path), str(file), "--epoch", "3"]).exit_code == 2
     assert run.invoke(main, ["control", "check", str(file)]).output == "good\n"
@@ -545,11 +545,11 @@
 def test_a_clock_that_steps_over_an_expiry_lets_nothing_old_in_and_keeps_what_is_in_force() -> None:
     private = Ed25519PrivateKey.generate()
     ring = KeyRing((Key("k", private.public_key()),))
-    one = p.Published.of(Number(1, 1), attempts(4))
+    one = p.Published.of(VersionNumber(1, 1), attempts(4))
     one = p.Published.of(one.number, one.document, sign(private, "k", one.number, one.digest, 1000.0))
-    two = p.Published.of(Number(1, 2), attempts(3))
+    two = p.Published.of(VersionNumber(1, 2), attempts(3))
     two = p.Published.of(two.number, two.document, sign(private, "k", two.number, two.digest, 1000.0))
-    mine, theirs = p.ProxyEnd("p", "r", Ledger(), ring), p.ServiceEnd(p.Shelf())
+    mine, theirs = p.ProxySession("p", "r", VersionHistory(), ring), p.ServiceSession(p.VersionCache())
     mine.connected("s")
     mine.receive({"type": "welcome", "speaks": 1}, 999.0)
     theirs.receive({"type": "hello", "proxy": "p", "speaks": [1]})
@@ -557,15 +557,15 @@
     def tell(published: p.Published, now_ms: float) -> list[p.Step]:
         found: list[p.Step] = []
         for step in theirs.offer(published):
-            assert isinstance(step, p.Say)
+            assert isinstance(step, p.Send)
             for asked in mine.receive(step.message, now_ms):
                 found.append(asked)
-                for part in theirs.receive(asked.message) if isinstance(asked, p.Say) else ():
-                    found += mine.receive(part.message, now_ms) if isinstance(part, p.Say) else []
+                for part in theirs.receive(asked.message) if isinstance(asked, p.Send) else ():
+                    found += mine.receive(part.message, now_ms) if isinstance(part, p.Send) else []
         return found
 
-    arrived = next(step for step in tell(one, 999.0) if isinstance(step, p.Arrived))
-    mine.taken(arrived, ())
-    assert [step.code for step in tell(two, 1001.0) if isinstance(step, p.Refusing)] == ["expired"]
-    assert mine.ledger.good == Number(1, 1)
-    assert any(isinstance(step, p.Arrived) for step in tell(two, 998.0))  # the clock is set back: sound again
+    arrived = next(step for step in tell(one, 999.0) if isinstance(step, p.VersionReceived))
+    mine.accept(arrived, ())
+    assert [step.code for step in tell(two, 1001.0) if isinstance(step, p.VersionRefused)] == ["expired"]
+    assert mine.history.good == VersionNumber(1, 1)
+    assert any(isinstance(step, p.VersionReceived) for step in tell(two, 998.0))  # the clock was set back
--- a/tests/test_stream_size.py
+++ b/tests/test_stream_size.py
@@ -10,7 +10,7 @@
 
 from capershelf.core.clock import ManualClock
 from capershelf.stream import document, protocol
-from capershelf.stream.ledger import Number
+from capershelf.stream.ledger import VersionNumber
 from capershelf.stream.rollout import Plan, Rollout
 from capershelf.stream.service import SCAN_MS, STATE, ControlService, End, Line, Peer
 
@@ -48,7 +48,7 @@
         self.service._disk.write = counted  # type: ignore[method-assign]
         self.connections = [FakeConnection() for _ in range(FOLLOWERS)]
         for number, connection in enumerate(self.connections):
-            end = protocol.ServiceEnd(self.service._shelf)
+            end = protocol.ServiceSession(self.service._shelf)
             self.service._peers[number] = Peer(connection, end, self.clock.now_ms())  # type: ignore[arg-type]
         self.look()
         for number in range(FOLLOWERS):
@@ -121,5 +121,5 @@
 
 def test_the_last_stage_is_everybody_without_an_order() -> None:
     proxies = {f"p{number}" for number in range(FOLLOWERS)}
-    assert Rollout(Number(1, 1), Plan()).chosen(proxies) == proxies
-    assert len(Rollout(Number(1, 1), Plan((0.1, 1.0))).chosen(proxies)) == FOLLOWERS // 10
+    assert Rollout(VersionNumber(1, 1), Plan()).chosen(proxies) == proxies
+    assert len(Rollout(VersionNumber(1, 1), Plan((0.1, 1.0))).chosen(proxies)) == FOLLOWERS // 10
