--- a/capershelf/stream/follower.py
+++ b/capershelf/stream/follower.py
@@ -1,7 +1,7 @@
-"""A proxy's side of the stream: one thread that follows one control service at a time.
+"""The proxy's client of the configuration stream: one thread, connected to one control service at a time.
 
-It owns the protocol's state, the ledger and the file of the last good version.  What a service sends
-comes in through its inbox, no more than a few messages at a time: the connection waits else.
+The thread owns the protocol session, the version history and the file of the last good version.  Messages
+of a service arrive in its inbox.  Their number is limited; the connection is not read beyond it.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 
 CONNECT_MS = 2000.0
 HANDSHAKE_MS = 3000.0
-SILENT_MS = 3.0 * protocol.HEARTBEAT_MS  # a service that says nothing for so long is left
-HALF_MS = 2000.0  # and one that does not end a message
-FETCH_MS = 30_000.0  # a version must come whole within this, else another service is asked for it
-PLANNERS_MS = 5000.0  # for all planners to have taken a version over
-WAITING = 32  # messages that may wait here; the connection is not read further
+SILENCE_TIMEOUT_MS = 3.0 * protocol.HEARTBEAT_MS  # without any message of the service
+PARTIAL_MESSAGE_TIMEOUT_MS = 2000.0
+FETCH_TIMEOUT_MS = 30_000.0  # for a complete version; then the next service is tried
+PLANNERS_TIMEOUT_MS = 5000.0  # for all planners to answer or to apply a version
+MAX_QUEUED_MESSAGES = 32  # the connection is not read while as many are queued
 
 
 class Host(Protocol):
-    """The node, as the follower needs it."""
+    """The parts of the node that the follower uses."""
 
     config: Config
 
@@ -47,42 +47,48 @@
 
     def reload(self, config: Config) -> None: ...
 
-    def ask_open(self, back: Callable[[set[str]], None]) -> int: ...
+    def ask_open(self, callback: Callable[[set[str]], None]) -> int: ...
 
     def outcomes(self) -> tuple[int, int]: ...
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
+    """The connection's handshake is complete."""
+
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class MessageReceived:
+    """The connection received a message."""
+
     connection: int
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Closed:
+    """The connection is closed."""
+
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rebase:
-    """The proxy's own file was read again."""
+    """The proxy's own configuration file was reloaded."""
 
     config: Config
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The proxy stops."""
+    """The proxy shuts down."""
 
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """A version in force, or none: then the proxy's own file alone."""
+    """The version in force; without a number, the proxy's own file alone is in force."""
 
     number: VersionNumber | None = None
     digest: str = ""
@@ -90,7 +96,7 @@
 
 
 class Follower:
-    """Runs until it is told to end."""
+    """Follows the control services and applies their versions until it receives End."""
 
     def __init__(
         self,
@@ -104,69 +110,77 @@
         release: str,
         environ: Mapping[str, str],
     ) -> None:
-        self.inbox: Inbox[Opened | Line | Closed | Rebase | End] = Inbox(clock)
+        self.inbox: Inbox[Opened | MessageReceived | Closed | Rebase | End] = Inbox(clock)
         self._settings, self._base, self._host, self._clock = settings, base, host, clock
         self._keep, self._environ = keep, environ
         ledger = VersionHistory(started.number, started.digest)
         self._ring = ring
-        self._end = protocol.ProxySession(base.name, release, ledger, ring())
-        self._end.base = started.document
-        self._in_force, self._before = started, InForce()
+        self._session = protocol.ProxySession(base.name, release, ledger, ring())
+        self._session.base = started.document
+        self._in_force, self._previous = started, InForce()
         self._order = Order(settings.services, base.seed)
         self._identity = Identity(settings.ca, settings.certificate, settings.key_file)
         self._connection: Connection | None = None
-        self._number = 0  # of the connection
+        self._connection_number = 0  # of the connection
         self._service = ""
-        self._heard_ms = self._beat_ms = 0.0
-        self._fetch_by_ms = math.inf
+        self._last_received_ms = self._next_heartbeat_ms = 0.0
+        self._fetch_deadline_ms = math.inf
         self._fetching: protocol.Fetch | None = None
-        self._room = threading.Semaphore(WAITING)
-        self._over = False
+        self._queue_slots = threading.Semaphore(MAX_QUEUED_MESSAGES)
+        self._stopped = False
         self._measure = Measure(max(1000.0, settings.probation_ms))
-        self._counted = (0, 0)
+        self._last_outcomes = (0, 0)
         self._probation: Probation | None = None
 
     # -- the loop -------------------------------------------------------------------------------------
     def run(self) -> None:
-        while not self._over:
+        """Connect to one service after another until the end."""
+        while not self._stopped:
             service, at_ms = self._order.next(self._clock.now_ms())
-            while not self._over and self._clock.now_ms() < at_ms:
+            while not self._stopped and self._clock.now_ms() < at_ms:
                 self._step(at_ms)
-            if not self._over:
+            if not self._stopped:
                 try:
                     self._follow(service)
-                except Exception:  # nothing that a service sends may end the following
-                    logger.exception("stream: a fault with {service}", event="stream-fault", service=service)
-                    self._hang_up("a fault here")
+                except Exception:  # no input from a service may end this thread
+                    logger.exception(
+                        "stream: unexpected error while following {service}",
+                        event="stream-fault",
+                        service=service,
+                    )
+                    self._disconnect("internal error")
                 self._order.failed()
 
     def _follow(self, service: str) -> None:
-        """Connect, and stay for as long as the connection lasts."""
+        """Connect to the service and process events until the connection ends."""
         self._service = service
         websocket = service.startswith("ws://")
         address = service.removeprefix("ws://")
         host = address.rpartition(":")[0].strip("[]")
         now_ms = self._clock.now_ms()
         try:
-            self._end.ring = self._ring()  # keys may have come, gone or been revoked meanwhile
+            self._session.ring = self._ring()  # keys may have been added, removed or revoked since
             context = self._identity.context(server=False) if self._settings.ca else None
             sock = connect(address, self._clock, now_ms + CONNECT_MS)
         except (OSError, ValueError) as problem:
             logger.info(
-                "stream: {service}: {problem}", event="service-unreachable", service=service, problem=problem
+                "stream: cannot connect to {service}: {problem}",
+                event="service-unreachable",
+                service=service,
+                problem=problem,
             )
             return
         framing: Framing = WebSocket(host) if websocket else Lines()
         if context is not None:
             framing = Tls(framing, context, False, host)
-        self._number += 1
-        number = self._number
-        self._room = room = threading.Semaphore(WAITING)
-        self._heard_ms, self._beat_ms = now_ms, now_ms + protocol.HEARTBEAT_MS
+        self._connection_number += 1
+        number = self._connection_number
+        self._queue_slots = queue_slots = threading.Semaphore(MAX_QUEUED_MESSAGES)
+        self._last_received_ms, self._next_heartbeat_ms = now_ms, now_ms + protocol.HEARTBEAT_MS
 
         def message(data: bytes) -> None:
-            room.acquire()
-            self.inbox.put(Line(number, data))
+            queue_slots.acquire()
+            self.inbox.put(MessageReceived(number, data))
 
         self._connection = connection = Connection(
             sock,
@@ -177,91 +191,91 @@
             self._clock,
             now_ms + HANDSHAKE_MS,
             lambda: self.inbox.put(Opened(number)),
-            read_deadline=self._due,
+            read_deadline=self._read_deadline,
         )
         connection.start()
         while self._connection is not None:
-            self._step(min(self._beat_ms, self._fetch_by_ms))
+            self._step(min(self._next_heartbeat_ms, self._fetch_deadline_ms))
         if connection.drop_reason:
             logger.info(
-                "stream: {service} left: {reason}",
+                "stream: connection to {service} ended: {reason}",
                 event="service-left",
                 service=service,
                 reason=connection.drop_reason,
             )
 
-    def _due(self, half_ms: float) -> float:
-        return min(self._heard_ms + SILENT_MS, half_ms + HALF_MS)
+    def _read_deadline(self, partial_since_ms: float) -> float:
+        return min(self._last_received_ms + SILENCE_TIMEOUT_MS, partial_since_ms + PARTIAL_MESSAGE_TIMEOUT_MS)
 
-    def _hang_up(self, reason: str) -> None:
+    def _disconnect(self, reason: str) -> None:
         if self._connection is not None:
             logger.warning(
-                "stream: {service} hung up on: {reason}",
+                "stream: closed the connection to {service}: {reason}",
                 event="service-hung-up",
                 service=self._service,
                 reason=reason,
             )
             self._connection.close()
             self._connection = None
-            for _ in range(WAITING):
-                self._room.release()  # the reading thread must not wait for room that nobody makes
+            for _ in range(MAX_QUEUED_MESSAGES):
+                self._queue_slots.release()  # unblock the reading thread
 
     def _step(self, until_ms: float) -> None:
-        """Deal with one event, or with what is due."""
+        """Process one event, if one arrives in time, and then everything that is due."""
         if self._probation is not None:
             until_ms = min(until_ms, self._clock.now_ms() + 250.0)
         event = self.inbox.take(until_ms)
         match event:
             case End():
-                self._over = True
+                self._stopped = True
                 if self._connection is not None:
                     self._connection.close()
                     self._connection = None
             case Rebase(config):
                 self._rebase(config)
-            case Opened(number) if number == self._number and self._connection is not None:
-                self._carry_out(self._end.connected(self._service))
-            case Line(number, data):
-                if number == self._number and self._connection is not None:
-                    self._line(data)
-                    self._room.release()
-            case Closed(number) if number == self._number:
+            case Opened(number) if number == self._connection_number and self._connection is not None:
+                self._carry_out(self._session.connected(self._service))
+            case MessageReceived(number, data):
+                if number == self._connection_number and self._connection is not None:
+                    self._receive(data)
+                    self._queue_slots.release()
+            case Closed(number) if number == self._connection_number:
                 self._connection = None
-                self._fetch_by_ms, self._fetching = math.inf, None
+                self._fetch_deadline_ms, self._fetching = math.inf, None
         now_ms = self._clock.now_ms()
-        if self._connection is not None and now_ms >= self._beat_ms:
-            self._beat_ms = now_ms + protocol.HEARTBEAT_MS
-            self._say({"type": "beat"})
-        if self._connection is not None and now_ms >= self._fetch_by_ms:
-            self._fetch_by_ms, self._fetching = math.inf, None
-            self._hang_up("a version did not come whole in time")
-        self._watch(now_ms)
-
-    def _say(self, message: protocol.Message) -> None:
+        if self._connection is not None and now_ms >= self._next_heartbeat_ms:
+            self._next_heartbeat_ms = now_ms + protocol.HEARTBEAT_MS
+            self._send({"type": "beat"})
+        if self._connection is not None and now_ms >= self._fetch_deadline_ms:
+            self._fetch_deadline_ms, self._fetching = math.inf, None
+            self._disconnect("a version was not received completely in time")
+        self._check_probation(now_ms)
+
+    def _send(self, message: protocol.Message) -> None:
         if self._connection is not None:
             self._connection.send(protocol.encode(message))
 
-    def _line(self, data: bytes) -> None:
-        self._heard_ms = now_ms = self._clock.now_ms()
+    def _receive(self, data: bytes) -> None:
+        self._last_received_ms = now_ms = self._clock.now_ms()
         try:
             message = protocol.decode(data)
         except protocol.ProtocolError as problem:
-            self._hang_up(str(problem))
+            self._disconnect(str(problem))
             return
         if message["type"] == "welcome":
             self._order.served()
-        self._carry_out(self._end.receive(message, now_ms))
-        if self._end.fetch is not self._fetching:
-            self._fetching = self._end.fetch
-            self._fetch_by_ms = now_ms + FETCH_MS if self._fetching is not None else math.inf
+        self._carry_out(self._session.receive(message, now_ms))
+        if self._session.fetch is not self._fetching:
+            self._fetching = self._session.fetch
+            self._fetch_deadline_ms = now_ms + FETCH_TIMEOUT_MS if self._fetching is not None else math.inf
 
     def _carry_out(self, steps: list[protocol.Step]) -> None:
         for step in steps:
             match step:
                 case protocol.Send(message):
-                    self._say(message)
+                    self._send(message)
                 case protocol.Disconnect(reason):
-                    self._hang_up(reason)
+                    self._disconnect(reason)
                 case protocol.VersionRefused(number, code, text):
                     logger.warning(
                         "stream: version {version} of {service} refused: {reason} [{code}]",
@@ -272,22 +286,22 @@
                         code=code,
                     )
                 case protocol.VersionReceived():
-                    self._consider(step)
+                    self._apply_version(step)
 
-    # -- taking over ----------------------------------------------------------------------------------
+    # -- applying a version ----------------------------------------------------------------------------------
     def _open_classes(self) -> dict[str, float]:
-        """Classes with open calls, and the deadlines that these have."""
+        """The deadlines of the classes that have open calls."""
         answers: Inbox[set[str]] = Inbox(self._clock)
-        by_ms = self._clock.now_ms() + PLANNERS_MS
+        deadline_ms = self._clock.now_ms() + PLANNERS_TIMEOUT_MS
         names: set[str] = set()
         for _ in range(self._host.ask_open(answers.put)):
-            while (found := answers.take(by_ms)) is None and self._clock.now_ms() < by_ms:
+            while (found := answers.take(deadline_ms)) is None and self._clock.now_ms() < deadline_ms:
                 pass
             names |= found or set()
-        kinds = self._host.config.settings.classes
-        return {kind.name: kind.deadline_ms for kind in kinds if kind.name in names}
+        classes = self._host.config.settings.classes
+        return {kind.name: kind.deadline_ms for kind in classes if kind.name in names}
 
-    def _plan(self, document: dict[str, Any]) -> takeover.TakeOver | Offence:
+    def _plan(self, document: dict[str, Any]) -> takeover.ApplicablePlan | Offence:
         return takeover.plan(
             self._base.table,
             self._host.config.table,
@@ -298,26 +312,26 @@
         )
 
     def _adopt(self, config: Config) -> bool:
-        """All planners, or none: whether all have taken it over."""
+        """Apply the configuration in all planners and wait for them; False if the proxy shuts down."""
         done: Inbox[bool] = Inbox(self._clock)
         if not self._host.adopt(config, lambda: done.put(True)):
             return False
-        by_ms = self._clock.now_ms() + PLANNERS_MS
+        deadline_ms = self._clock.now_ms() + PLANNERS_TIMEOUT_MS
         for _ in range(config.planners):
-            while done.take(by_ms) is None and self._clock.now_ms() < by_ms:
+            while done.take(deadline_ms) is None and self._clock.now_ms() < deadline_ms:
                 pass
         return True
 
-    def _consider(self, arrived: protocol.VersionReceived) -> None:
+    def _apply_version(self, arrived: protocol.VersionReceived) -> None:
         found = self._plan(arrived.document)
         if isinstance(found, Offence):
-            self._carry_out(self._end.refuse(arrived, found.code, found.path, found.text))
+            self._carry_out(self._session.refuse(arrived, found.code, found.path, found.text))
             return
-        before = self._share()
+        before = self._outcomes_before()
         if not self._adopt(found.config):
-            self._hang_up("this proxy stops")
+            self._disconnect("the proxy shuts down")
             return
-        self._before = self._in_force
+        self._previous = self._in_force
         self._in_force = InForce(arrived.number, arrived.digest, arrived.document)
         self._save()
         logger.info(
@@ -325,29 +339,31 @@
             event="version-in-force",
             version=arrived.number,
             service=self._service,
-            notes=f"; from the next start on: {', '.join(found.notes)}" if found.notes else "",
+            notes=f"; from the next start: {', '.join(found.notes)}" if found.notes else "",
         )
-        self._carry_out(self._end.accept(arrived, found.notes))
+        self._carry_out(self._session.accept(arrived, found.notes))
         if self._settings.probation_ms > 0:
             terms = Terms(self._settings.probation_ms, self._settings.margin, self._settings.least)
             self._probation = Probation(terms, self._clock.now_ms(), before)
 
     def _save(self) -> None:
-        held = self._in_force
-        if self._keep is None or held.number is None or held.document is None:
+        current = self._in_force
+        if self._keep is None or current.number is None or current.document is None:
             return
         try:
-            self._keep.save(held.number, held.digest, doc.canonical(held.document), self._clock.now_ms())
+            self._keep.save(
+                current.number, current.digest, doc.canonical(current.document), self._clock.now_ms()
+            )
         except OSError as problem:
             logger.warning(
-                "stream: version {version} is in force but not kept: {problem}",
+                "stream: version {version} is in force but could not be saved: {problem}",
                 event="version-unkept",
-                version=held.number,
+                version=current.number,
                 problem=problem,
             )
 
     def _rebase(self, config: Config) -> None:
-        """SIGHUP: the new file under the version in force."""
+        """Reload on SIGHUP: apply the version in force on top of the new file."""
         if (document := self._in_force.document) is None:
             self._host.reload(config)
         else:
@@ -356,32 +372,32 @@
             )
             if isinstance(wanted, Offence):
                 logger.error(
-                    "stream: the file that was read again does not go with version {version}: {problem}",
+                    "stream: the reloaded file is not compatible with version {version}: {problem}",
                     event="rebase-refused",
                     version=self._in_force.number,
                     problem=wanted,
                 )
                 return
-            if not self._adopt(wanted.config):  # the proxy stops, but follows its list to the end
+            if not self._adopt(wanted.config):  # shutting down: the server list is still followed
                 self._host.reload(wanted.config)
         self._base = config
 
     # -- probation ------------------------------------------------------------------------------------
-    def _share(self) -> tuple[int, int]:
-        """Outcomes in the time before now that a probation takes."""
+    def _outcomes_before(self) -> tuple[int, int]:
+        """The outcomes of the last probation period."""
         now_ms = self._clock.now_ms()
-        self._count(now_ms)
+        self._record_outcomes(now_ms)
         return self._measure.since(now_ms - self._settings.probation_ms)
 
-    def _count(self, now_ms: float) -> None:
+    def _record_outcomes(self, now_ms: float) -> None:
         given, refused = self._host.outcomes()
-        self._measure.note(now_ms, given - self._counted[0], refused - self._counted[1])
-        self._counted = given, refused
+        self._measure.note(now_ms, given - self._last_outcomes[0], refused - self._last_outcomes[1])
+        self._last_outcomes = given, refused
 
-    def _watch(self, now_ms: float) -> None:
+    def _check_probation(self, now_ms: float) -> None:
         if self._settings.probation_ms <= 0:
             return
-        self._count(now_ms)
+        self._record_outcomes(now_ms)
         if self._probation is None:
             return
         verdict = self._probation.verdict(now_ms, self._measure.since(self._probation.began_ms))
@@ -390,33 +406,35 @@
         self._probation = None
         if verdict == "passed":
             logger.info(
-                "stream: version {version} has passed its probation",
+                "stream: version {version} passed its probation",
                 event="probation-passed",
                 version=self._in_force.number,
             )
             return
-        self._put_back(verdict)
+        self._roll_back(verdict)
 
-    def _put_back(self, why: str) -> None:
-        bad, before = self._in_force, self._before
+    def _roll_back(self, reason: str) -> None:
+        bad, before = self._in_force, self._previous
         found = self._plan(before.document or {})
         if bad.number is None or isinstance(found, Offence):
             logger.error(
-                "stream: version {version} does harm ({reason}), can't be put back: {problem}",
+                "stream: version {version} does harm ({reason}) but cannot be rolled back: {problem}",
                 event="put-back-failed",
                 version=bad.number,
-                reason=why,
+                reason=reason,
                 problem=found,
             )
             return
         if not self._adopt(found.config):
             return
         logger.warning(
-            "stream: version {version} is put back: {reason}",
+            "stream: version {version} was rolled back: {reason}",
             event="version-put-back",
             version=bad.number,
-            reason=why,
+            reason=reason,
         )
-        self._in_force, self._before = before, InForce()
+        self._in_force, self._previous = before, InForce()
         self._save()
-        self._carry_out(self._end.roll_back(bad.number, before.number, before.document, before.digest, why))
+        self._carry_out(
+            self._session.roll_back(bad.number, before.number, before.document, before.digest, reason)
+        )
--- a/capershelf/stream/takeover.py
+++ b/capershelf/stream/takeover.py
@@ -1,4 +1,4 @@
-"""From a version to a configuration that may be taken, or the reason why not.  Pure."""
+"""Turns a version into a configuration to apply, or into the reason for its refusal.  No I/O."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from capershelf.stream.fields import When, changes, keep_until_start
 from capershelf.stream.standing import Offence
 
-OWN = ("stream", "memory", "name")  # a service may not move a proxy to another one, or rename it
+LOCAL_KEYS = ("stream", "memory", "name")  # a service must not redirect or rename a proxy
 
 
 @dataclass(frozen=True, slots=True)
-class TakeOver:
-    """What is to be in force, and which fields wait for the next start."""
+class ApplicablePlan:
+    """The configuration to apply, and the paths of the fields that change at the next start."""
 
     config: Config
     notes: tuple[str, ...]
 
 
 def contract_of(base: Mapping[str, Any]) -> Mapping[str, Any]:
-    """The contract that no version may go beyond: that of the proxy's own file."""
+    """The contract in the proxy's own file, which limits every version."""
     settings = base.get("settings")
     found = settings.get("contract") if isinstance(settings, Mapping) else None
     return found if isinstance(found, Mapping) else {}
 
 
 def merged(base: Mapping[str, Any], document: Mapping[str, Any]) -> dict[str, Any]:
-    """A version stands over the proxy's own file as that over the platform's: key by key at the top."""
+    """The proxy's own file with the top-level keys of the version replacing its own."""
     return {**base, **document}
 
 
@@ -43,22 +43,26 @@
     open_classes: Mapping[str, float],
     strict: bool,
     environ: Mapping[str, str],
-) -> TakeOver | Offence:
-    """base: the proxy's own file; in_force: the table that holds now."""
+) -> ApplicablePlan | Offence:
+    """Check a version and build the configuration to apply.
+
+    base: the proxy's own file; in_force: the current table; open_classes: the deadlines of the classes with
+    open calls; strict: refuse a version that has fields which only a start can change.
+    """
     if offences := standing.check(document, contract_of(base), open_classes):
         return offences[0]
-    for key in OWN:
+    for key in LOCAL_KEYS:
         if key in document:
             return Offence("not-streamed", key, "only the proxy's own file may hold it")
     wanted = merged(base, document)
-    kept = keep_until_start(in_force, wanted)
+    effective = keep_until_start(in_force, wanted)
     notes = tuple(change.path for change in changes(in_force, wanted) if change.when is When.NEXT_START)
     if strict and notes:
         return Offence("next-start", notes[0], "only a start can change it")
     try:
-        config = configuration.read(kept, environ)
-        configuration.read(wanted, environ)  # what the next start would read must be readable too
+        config = configuration.read(effective, environ)
+        configuration.read(wanted, environ)  # the next start must be able to read it as well
         control.validate(config.settings)
     except (ValueError, TypeError, KeyError, AttributeError) as problem:
         return Offence("senseless", "", str(problem))
-    return TakeOver(config, notes)
+    return ApplicablePlan(config, notes)
--- a/lab/takeover.py
+++ b/lab/takeover.py
@@ -98,7 +98,7 @@
         done = threading.Event()
         began = time.perf_counter()
         found = takeover.plan(base, node.config.table, doc.read(data), {}, False, {})
-        assert isinstance(found, takeover.TakeOver)
+        assert isinstance(found, takeover.ApplicablePlan)
         planned = time.perf_counter()
         node.adopt(found.config, done.set)
         done.wait()
--- a/tests/test_stream_decisions.py
+++ b/tests/test_stream_decisions.py
@@ -118,13 +118,13 @@
 def test_what_only_a_start_can_change_waits_and_is_noted() -> None:
     wanted = {"planners": 2, "listen": "127.0.0.1:9"} | changed("settings/bounds/max-attempts", 4)
     found = takeover.plan(OWN, OWN, wanted, {}, False, {})
-    assert isinstance(found, takeover.TakeOver)
+    assert isinstance(found, takeover.ApplicablePlan)
     assert found.notes == ("listen", "planners")
     assert (found.config.planners, found.config.settings.max_attempts) == (1, 4)
     refused = takeover.plan(OWN, OWN, wanted, {}, True, {})
     assert isinstance(refused, standing.Offence)
     assert (refused.code, refused.path) == ("next-start", "listen")
-    for own in takeover.OWN:
+    for own in takeover.LOCAL_KEYS:
         refused = takeover.plan(OWN, OWN, {own: OWN.get(own, {})}, {}, False, {})
         assert isinstance(refused, standing.Offence)
     refused = takeover.plan(OWN, OWN, {"settings": {}}, {}, False, {})
--- a/tests/test_stream_running.py
+++ b/tests/test_stream_running.py
@@ -413,8 +413,8 @@
 def test_a_service_that_trickles_or_never_ends_a_line_is_left_for_the_next(
     tmp_path: Path, ends: list[Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(follower, "HALF_MS", 100.0)
-    monkeypatch.setattr(follower, "SILENT_MS", 300.0)
+    monkeypatch.setattr(follower, "PARTIAL_MESSAGE_TIMEOUT_MS", 100.0)
+    monkeypatch.setattr(follower, "SILENCE_TIMEOUT_MS", 300.0)
     service = Service(tmp_path)
     ends.append(service)
     slow: queue.SimpleQueue[socket.socket] = queue.SimpleQueue()
