--- a/capershelf/commands/control.py
+++ b/capershelf/commands/control.py
@@ -26,7 +26,7 @@
 from capershelf.stream.ledger import VersionNumber
 from capershelf.stream.protocol import Published
 from capershelf.stream.rollout import Plan
-from capershelf.stream.service import STATE, ControlService, End, read_version, versions_in
+from capershelf.stream.service import STATE_FILE, ControlService, End, read_version, versions_in
 from capershelf.stream.signing import read_private, sign
 
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
@@ -186,7 +186,7 @@
 def status(folder: Path, as_json: bool) -> None:
     """Which proxies have acknowledged or refused what, and how far the roll-out is."""
     try:
-        found = doc.read((folder / STATE).read_bytes())
+        found = doc.read((folder / STATE_FILE).read_bytes())
     except FileNotFoundError:
         found = {"proxies": {}, "rollout": None}
     except (OSError, ValueError) as problem:
--- a/capershelf/stream/follower.py
+++ b/capershelf/stream/follower.py
@@ -27,7 +27,7 @@
 from capershelf.stream.order import Order
 from capershelf.stream.probation import Measure, Probation, Terms
 from capershelf.stream.signing import KeyRing
-from capershelf.stream.standing import Offence
+from capershelf.stream.standing import RuleViolation
 
 CONNECT_MS = 2000.0
 HANDSHAKE_MS = 3000.0
@@ -301,7 +301,7 @@
         classes = self._host.config.settings.classes
         return {kind.name: kind.deadline_ms for kind in classes if kind.name in names}
 
-    def _plan(self, document: dict[str, Any]) -> takeover.ApplicablePlan | Offence:
+    def _plan(self, document: dict[str, Any]) -> takeover.ApplicablePlan | RuleViolation:
         return takeover.plan(
             self._base.table,
             self._host.config.table,
@@ -324,7 +324,7 @@
 
     def _apply_version(self, arrived: protocol.VersionReceived) -> None:
         found = self._plan(arrived.document)
-        if isinstance(found, Offence):
+        if isinstance(found, RuleViolation):
             self._carry_out(self._session.refuse(arrived, found.code, found.path, found.text))
             return
         before = self._outcomes_before()
@@ -370,7 +370,7 @@
             wanted = takeover.plan(
                 config.table, self._host.config.table, document, self._open_classes(), False, self._environ
             )
-            if isinstance(wanted, Offence):
+            if isinstance(wanted, RuleViolation):
                 logger.error(
                     "stream: the reloaded file is not compatible with version {version}: {problem}",
                     event="rebase-refused",
@@ -416,7 +416,7 @@
     def _roll_back(self, reason: str) -> None:
         bad, before = self._in_force, self._previous
         found = self._plan(before.document or {})
-        if bad.number is None or isinstance(found, Offence):
+        if bad.number is None or isinstance(found, RuleViolation):
             logger.error(
                 "stream: version {version} does harm ({reason}) but cannot be rolled back: {problem}",
                 event="put-back-failed",
--- a/capershelf/stream/service.py
+++ b/capershelf/stream/service.py
@@ -1,9 +1,8 @@
-"""A control service: versions as files in a folder, offered to proxies by stages.  A stand-in, and a
-tool.
+"""A control service that offers the versions in a folder to proxies, stage by stage.
 
-One thread owns all that is known; connections reach it by its inbox.  In the folder lie
-`EPOCH.VERSION.json`, each with `EPOCH.VERSION.sig` where it is signed, and `state.json`, which says what
-each proxy has made of them.
+It stands in for a platform's own service and is a tool for operators.  One thread owns the state;
+connections reach it through its inbox.  The folder holds `EPOCH.VERSION.json`, with `EPOCH.VERSION.sig` for
+signed versions, and `state.json`, which records the state of each proxy.
 """
 
 from __future__ import annotations
@@ -31,46 +30,53 @@
 from capershelf.stream.rollout import Plan, Rollout
 from capershelf.stream.signing import Signature
 
-SCAN_MS = 200.0
-SILENT_MS = 4.0 * protocol.HEARTBEAT_MS
-HANDSHAKE_MS = 3000.0
-NAME = re.compile(r"(\d{1,15})\.(\d{1,15})\.json")
-STATE, STATE_NEW = "state.json", "state.new"
+SCAN_INTERVAL_MS = 200.0
+SILENCE_TIMEOUT_MS = 4.0 * protocol.HEARTBEAT_MS
+HANDSHAKE_TIMEOUT_MS = 3000.0
+VERSION_FILE_NAME = re.compile(r"(\d{1,15})\.(\d{1,15})\.json")
+STATE_FILE = "state.json"
+TEMPORARY_STATE_FILE = "state.new"
 
 
 def versions_in(folder: Path) -> list[VersionNumber]:
-    """The numbers of all versions there, in their order."""
-    found = (NAME.fullmatch(path.name) for path in folder.iterdir())
+    """The numbers of all versions in the folder, in ascending order."""
+    found = (VERSION_FILE_NAME.fullmatch(path.name) for path in folder.iterdir())
     return sorted(VersionNumber(int(match[1]), int(match[2])) for match in found if match)
 
 
 def read_version(folder: Path, number: VersionNumber) -> protocol.Published:
-    """A version with its signature; ValueError where one of its files can't be read."""
+    """Read a version with its signature; raises ValueError if one of its files is unreadable."""
     try:
         found = doc.read((folder / f"{number}.json").read_bytes())
         signature = Signature()
         if (path := folder / f"{number}.sig").exists():
-            told = doc.read(path.read_bytes())
-            signature = Signature(str(told["key"]), float(told["expires"]), str(told["signature"]))
+            stored = doc.read(path.read_bytes())
+            signature = Signature(str(stored["key"]), float(stored["expires"]), str(stored["signature"]))
     except (OSError, KeyError, TypeError) as problem:
         raise ValueError(f"{number}: {problem!r}") from problem
     return protocol.Published.of(number, found, signature)
 
 
 @dataclass(frozen=True, slots=True)
-class Came:
+class ProxyConnected:
+    """The listener accepted a connection."""
+
     sock: socket.socket
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class MessageReceived:
+    """A connection received a message."""
+
     peer: int
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class ProxyDisconnected:
+    """A connection is closed."""
+
     peer: int
 
 
@@ -80,27 +86,27 @@
 
 
 @dataclass(slots=True)
-class Peer:
-    """A proxy's connection."""
+class ProxyConnection:
+    """A connection of a proxy and its protocol session."""
 
     connection: Connection
-    end: protocol.ServiceSession
-    heard_ms: float
+    session: protocol.ServiceSession
+    last_heartbeat_ms: float
     offered: str = ""  # digest
 
 
 @dataclass(slots=True)
 class Fleet:
-    """What is known of each proxy; it outlives their connections and, in state.json, this process."""
+    """The state of each proxy.  It survives connections and, in state.json, restarts of this process."""
 
     proxies: dict[str, dict[str, Any]] = field(default_factory=dict)
 
-    def note(self, proxy: str, now_ms: float, **what: Any) -> None:
-        self.proxies.setdefault(proxy, {}).update(what, at_ms=now_ms)
+    def update(self, proxy: str, now_ms: float, **fields: Any) -> None:
+        self.proxies.setdefault(proxy, {}).update(fields, at_ms=now_ms)
 
 
 class ControlService:
-    """Serves a folder until told to end."""
+    """Serves the versions in a folder until it receives End."""
 
     def __init__(
         self,
@@ -111,29 +117,30 @@
         websocket: bool = False,
         identity: Identity | None = None,
     ) -> None:
-        self.inbox: Inbox[Came | Line | Gone | End] = Inbox(clock)
+        self.inbox: Inbox[ProxyConnected | MessageReceived | ProxyDisconnected | End] = Inbox(clock)
         self._folder, self._disk, self._clock, self._plan = folder, Folder(folder), clock, plan
         self._websocket, self._identity = websocket, identity
         if identity is not None:
-            identity.context(server=True)  # a file that can't be used is named before the first proxy comes
+            identity.context(server=True)  # report an unusable file before any proxy connects
         self._sock = socket.create_server(parse_endpoint(listen), backlog=512)
         self.port: int = self._sock.getsockname()[1]
-        self._shelf = protocol.VersionCache()
-        self._peers: dict[int, Peer] = {}
-        self._count = 0
+        self._cache = protocol.VersionCache()
+        self._connections: dict[int, ProxyConnection] = {}
+        self._last_number = 0
         self.fleet = Fleet()
         self._rollout: Rollout | None = None
         self._newest: protocol.Published | None = None
-        self._before: protocol.Published | None = None
+        self._previous: protocol.Published | None = None
         self._unreadable: set[VersionNumber] = set()
-        self._scan_ms = 0.0
-        self._stamp = 0  # of the newest version's signature
-        self._state = ""
+        self._next_scan_ms = 0.0
+        self._signature_mtime_ns = 0  # modification time of the newest version's signature
+        self._written_state = ""
         self._changed = True  # since state.json was written
         self._read_state()
 
     # -- threads --------------------------------------------------------------------------------------
     def start(self) -> None:
+        """Start accepting connections."""
         start_detached_thread(self._accept)
 
     def _accept(self) -> None:
@@ -142,50 +149,52 @@
                 sock, address = self._sock.accept()
             except OSError:
                 return
-            self.inbox.put(Came(sock, f"proxy {address[0]}:{address[1]}"))
+            self.inbox.put(ProxyConnected(sock, f"proxy {address[0]}:{address[1]}"))
 
     def run(self) -> None:
-        """The owner's loop."""
+        """Process events until End; this thread owns the state."""
         while True:
-            event = self.inbox.take(self._scan_ms)
+            event = self.inbox.take(self._next_scan_ms)
             if isinstance(event, End):
                 break
             try:
-                self._take(event)
+                self._process(event)
             except Exception:  # one proxy must not end the service for all
-                logger.exception("control: a fault", event="control-fault")
+                logger.exception("control: unexpected error", event="control-fault")
         self._write_state()
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
-        for peer in self._peers.values():
+        for peer in self._connections.values():
             peer.connection.close()
 
-    def _take(self, event: Came | Line | Gone | None) -> None:
+    def _process(self, event: ProxyConnected | MessageReceived | ProxyDisconnected | None) -> None:
         match event:
-            case Came(sock, name):
-                self._admit(sock, name)
-            case Line(number, data):
-                if (peer := self._peers.get(number)) is not None:
-                    self._line(peer, data)
-            case Gone(number):
-                if (peer := self._peers.pop(number, None)) is not None and peer.end.proxy:
-                    connected = any(one.end.proxy == peer.end.proxy for one in self._peers.values())
-                    self.fleet.note(peer.end.proxy, self._clock.now_ms(), connected=connected)
+            case ProxyConnected(sock, name):
+                self._add_connection(sock, name)
+            case MessageReceived(number, data):
+                if (peer := self._connections.get(number)) is not None:
+                    self._receive(peer, data)
+            case ProxyDisconnected(number):
+                if (peer := self._connections.pop(number, None)) is not None and peer.session.proxy:
+                    connected = any(
+                        one.session.proxy == peer.session.proxy for one in self._connections.values()
+                    )
+                    self.fleet.update(peer.session.proxy, self._clock.now_ms(), connected=connected)
                     self._changed = True
         now_ms = self._clock.now_ms()
-        if now_ms >= self._scan_ms:
-            self._scan_ms = now_ms + SCAN_MS
+        if now_ms >= self._next_scan_ms:
+            self._next_scan_ms = now_ms + SCAN_INTERVAL_MS
             self._scan()
             self._advance(now_ms)
-            if self._changed:  # not at each message: guards a large fleet's service from its own file
+            if self._changed:  # not per message: with a large fleet the writes would slow the service
                 self._write_state()
-            for peer in list(self._peers.values()):
-                if now_ms - peer.heard_ms >= protocol.HEARTBEAT_MS / 2:
-                    peer.heard_ms = now_ms
+            for peer in list(self._connections.values()):
+                if now_ms - peer.last_heartbeat_ms >= protocol.HEARTBEAT_MS / 2:
+                    peer.last_heartbeat_ms = now_ms
                     peer.connection.send(protocol.encode({"type": "beat"}))
 
-    def _admit(self, sock: socket.socket, name: str) -> None:
+    def _add_connection(self, sock: socket.socket, name: str) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         framing: Framing = WebSocket() if self._websocket else Lines()
         if self._identity is not None:
@@ -195,52 +204,54 @@
                 logger.warning("control: {problem}", event="control-problem", problem=problem)
                 sock.close()
                 return
-        self._count += 1
-        number, heard = self._count, [self._clock.now_ms()]
+        self._last_number += 1
+        number, last_received_ms = self._last_number, [self._clock.now_ms()]
 
         def message(data: bytes) -> None:
-            heard[0] = self._clock.now_ms()
-            self.inbox.put(Line(number, data))
+            last_received_ms[0] = self._clock.now_ms()
+            self.inbox.put(MessageReceived(number, data))
 
         connection = Connection(
             sock,
             framing,
             message,
-            lambda: self.inbox.put(Gone(number)),
+            lambda: self.inbox.put(ProxyDisconnected(number)),
             name,
             self._clock,
-            heard[0] + HANDSHAKE_MS,
-            read_deadline=lambda partial_since_ms: heard[0] + SILENT_MS,
+            last_received_ms[0] + HANDSHAKE_TIMEOUT_MS,
+            read_deadline=lambda partial_since_ms: last_received_ms[0] + SILENCE_TIMEOUT_MS,
+        )
+        self._connections[number] = ProxyConnection(
+            connection, protocol.ServiceSession(self._cache), last_received_ms[0]
         )
-        self._peers[number] = Peer(connection, protocol.ServiceSession(self._shelf), heard[0])
         connection.start()
 
-    def _line(self, peer: Peer, data: bytes) -> None:
+    def _receive(self, peer: ProxyConnection, data: bytes) -> None:
         try:
-            steps = peer.end.receive(protocol.decode(data))
+            steps = peer.session.receive(protocol.decode(data))
         except protocol.ProtocolError as problem:
             steps = [protocol.Disconnect(str(problem))]
         self._carry_out(peer, steps)
 
-    def _carry_out(self, peer: Peer, steps: list[protocol.Step]) -> None:
+    def _carry_out(self, peer: ProxyConnection, steps: list[protocol.Step]) -> None:
         for step in steps:
             match step:
                 case protocol.Send(message):
                     peer.connection.send(protocol.encode(message))
                 case protocol.Disconnect(reason):
                     logger.warning(
-                        "control: {proxy} hung up on: {reason}",
+                        "control: closed the connection to {proxy}: {reason}",
                         event="control-hung-up",
-                        proxy=peer.end.proxy or "a proxy",
+                        proxy=peer.session.proxy or "a proxy",
                         reason=reason,
                     )
                     peer.connection.close()
                 case protocol.ProxyReport():
-                    self._told(peer, step)
+                    self._process_report(peer, step)
 
     # -- versions -------------------------------------------------------------------------------------
     def _scan(self) -> None:
-        self._look_at_signature()
+        self._check_signature()
         for number in versions_in(self._folder):
             newest = self._newest.number if self._newest is not None else VersionNumber(0, 0)
             if number <= newest or number in self._unreadable:
@@ -251,31 +262,31 @@
                 self._unreadable.add(number)
                 logger.error("control: {problem}", event="control-problem", problem=problem)
                 continue
-            self._shelf.add(found)
-            self._before, self._newest = self._newest, found
+            self._cache.add(found)
+            self._previous, self._newest = self._newest, found
             self._changed = True
             known = self._rollout
             if known is None or known.number != number:
                 self._rollout = Rollout(number, self._plan)
             logger.info(
-                "control: version {version} goes out, {bytes} bytes",
+                "control: rollout of version {version} begins, {bytes} bytes",
                 event="rollout-begins",
                 version=number,
                 bytes=len(found.data),
             )
 
-    def _look_at_signature(self) -> None:
-        """The newest version may be signed once more: who does not have it yet is offered it again."""
+    def _check_signature(self) -> None:
+        """Offer the newest version again, with its new signature, if it was signed again."""
         if self._newest is None:
             return
         path = self._folder / f"{self._newest.number}.sig"
         try:
-            stamp = path.stat().st_mtime_ns
+            mtime_ns = path.stat().st_mtime_ns
         except OSError:
             return
-        if stamp == self._stamp:
+        if mtime_ns == self._signature_mtime_ns:
             return
-        self._stamp = stamp
+        self._signature_mtime_ns = mtime_ns
         try:
             found = read_version(self._folder, self._newest.number)
         except ValueError as problem:
@@ -285,13 +296,13 @@
             return
         self._newest = found
         self._rollout = Rollout(found.number, self._plan, acked=self._rollout.acked if self._rollout else {})
-        for peer in self._peers.values():
+        for peer in self._connections.values():
             peer.offered = ""
 
     def _advance(self, now_ms: float) -> None:
         if self._rollout is None or self._newest is None:
             return
-        connected = {peer.end.proxy for peer in self._peers.values() if peer.end.proxy}
+        connected = {peer.session.proxy for peer in self._connections.values() if peer.session.proxy}
         while self._rollout.advance(set(self.fleet.proxies), connected, now_ms):
             self._changed = True
             logger.info(
@@ -301,81 +312,81 @@
                 state=self._rollout.state,
             )
         chosen = self._rollout.chosen(set(self.fleet.proxies))
-        for peer in self._peers.values():
-            if peer.end.proxy:
+        for peer in self._connections.values():
+            if peer.session.proxy:
                 self._offer(peer, chosen)
 
-    def _offer(self, peer: Peer, chosen: set[str]) -> None:
-        """What this proxy is to have now: the newest where its stage has come, else the one before."""
+    def _offer(self, peer: ProxyConnection, chosen: set[str]) -> None:
+        """Offer the newest version if the rollout has reached this proxy, else the previous one."""
         if self._rollout is None or self._newest is None:
             return
-        due = self._rollout.due(peer.end.proxy, chosen)
-        target = self._newest if due else self._before
-        if target is None or target.digest in (peer.end.digest, peer.offered):
+        due = self._rollout.due(peer.session.proxy, chosen)
+        target = self._newest if due else self._previous
+        if target is None or target.digest in (peer.session.digest, peer.offered):
             return
-        if peer.end.good is not None and target.number < peer.end.good:
-            return  # it has had the newer one already
+        if peer.session.good is not None and target.number < peer.session.good:
+            return  # the proxy already has a newer version
         peer.offered = target.digest
-        self._carry_out(peer, peer.end.offer(target))
+        self._carry_out(peer, peer.session.offer(target))
 
-    def _told(self, peer: Peer, told: protocol.ProxyReport) -> None:
+    def _process_report(self, peer: ProxyConnection, report: protocol.ProxyReport) -> None:
         now_ms = self._clock.now_ms()
         self._changed = True
-        number = str(told.number) if told.number is not None else ""
-        newest = self._rollout is not None and told.number == self._rollout.number
-        if told.kind == "hello":
-            self.fleet.note(told.proxy, now_ms, connected=True, has=number)
+        number = str(report.number) if report.number is not None else ""
+        newest = self._rollout is not None and report.number == self._rollout.number
+        if report.kind == "hello":
+            self.fleet.update(report.proxy, now_ms, connected=True, has=number)
             if newest and self._rollout is not None:
-                self._rollout.ack(told.proxy, now_ms)
+                self._rollout.ack(report.proxy, now_ms)
             if self._rollout is not None:
                 self._offer(peer, self._rollout.chosen(set(self.fleet.proxies)))
-        elif told.kind == "ack":
-            self.fleet.note(told.proxy, now_ms, has=number, notes=list(told.notes))
+        elif report.kind == "ack":
+            self.fleet.update(report.proxy, now_ms, has=number, notes=list(report.notes))
             if newest and self._rollout is not None:
-                self._rollout.ack(told.proxy, now_ms)
+                self._rollout.ack(report.proxy, now_ms)
         else:
-            self.fleet.note(
-                told.proxy,
+            self.fleet.update(
+                report.proxy,
                 now_ms,
                 **{
-                    told.kind: {
+                    report.kind: {
                         "version": number,
-                        "code": told.code or "put-back",
-                        "path": told.path,
-                        "text": told.text,
+                        "code": report.code or "put-back",
+                        "path": report.path,
+                        "text": report.text,
                     }
                 },
             )
             logger.warning(
-                "control: {proxy} says {kind} of {version}: {path} {reason}",
+                "control: {proxy} reports {kind} for {version}: {path} {reason}",
                 event="proxy-refuses",
-                proxy=told.proxy,
-                kind=told.kind,
+                proxy=report.proxy,
+                kind=report.kind,
                 version=number,
-                path=told.path,
-                reason=told.text,
+                path=report.path,
+                reason=report.text,
             )
             if newest and self._rollout is not None:
-                self._rollout.refuse(told.proxy, told.code or "put-back", told.text)
-            self._write_state()  # at once: a halt must outlive this process
+                self._rollout.refuse(report.proxy, report.code or "put-back", report.text)
+            self._write_state()  # at once: a halted rollout must survive a restart
 
     # -- state ----------------------------------------------------------------------------------------
     def _read_state(self) -> None:
         try:
-            found = doc.read((self._folder / STATE).read_bytes())
+            found = doc.read((self._folder / STATE_FILE).read_bytes())
             self.fleet.proxies = {str(k): dict(v) | {"connected": False} for k, v in found["proxies"].items()}
-            if (told := found.get("rollout")) is not None:
-                number = VersionNumber(int(told["epoch"]), int(told["version"]))
-                acked = {str(k): float(v) for k, v in told["acked"].items()}
-                stage = min(int(told["stage"]), len(self._plan.stages) - 1)
-                self._rollout = Rollout(number, self._plan, stage, str(told["halted"]), acked)
+            if (stored := found.get("rollout")) is not None:
+                number = VersionNumber(int(stored["epoch"]), int(stored["version"]))
+                acked = {str(k): float(v) for k, v in stored["acked"].items()}
+                stage = min(int(stored["stage"]), len(self._plan.stages) - 1)
+                self._rollout = Rollout(number, self._plan, stage, str(stored["halted"]), acked)
         except FileNotFoundError:
             pass
         except (OSError, ValueError, KeyError, TypeError, AttributeError) as problem:
             logger.warning(
-                "control: {file} can't be read, the fleet is learned anew: {problem!r}",
+                "control: cannot read {file}, starting without known proxies: {problem!r}",
                 event="control-state-spoilt",
-                file=STATE,
+                file=STATE_FILE,
                 problem=problem,
             )
 
@@ -398,19 +409,19 @@
             sort_keys=True,
             indent=1,
         )
-        if text == self._state:
+        if text == self._written_state:
             self._changed = False
             return
         try:
-            self._disk.write(STATE_NEW, text.encode())
-            self._disk.sync(STATE_NEW)
-            self._disk.rename(STATE_NEW, STATE)
+            self._disk.write(TEMPORARY_STATE_FILE, text.encode())
+            self._disk.sync(TEMPORARY_STATE_FILE)
+            self._disk.rename(TEMPORARY_STATE_FILE, STATE_FILE)
         except OSError as problem:
             logger.warning(
-                "control: {file} not written: {problem}",
+                "control: could not write {file}: {problem}",
                 event="control-state-unwritten",
-                file=STATE,
+                file=STATE_FILE,
                 problem=problem,
             )
             return
-        self._state, self._changed = text, False
+        self._written_state, self._changed = text, False
--- a/capershelf/stream/stream.py
+++ b/capershelf/stream/stream.py
@@ -70,8 +70,8 @@
         age_s = (self._clock.now_ms() - kept.saved_ms) / 1000.0
         try:
             found = doc.read(kept.document)
-            if offences := standing.check(found, takeover.contract_of(self._base.table)):
-                raise ValueError(str(offences[0]))
+            if violations := standing.check(found, takeover.contract_of(self._base.table)):
+                raise ValueError(str(violations[0]))
             self.config = configuration.read(takeover.merged(self._base.table, found), self._environ)
         except (ValueError, TypeError, KeyError, AttributeError) as problem:
             logger.warning(
--- a/capershelf/stream/takeover.py
+++ b/capershelf/stream/takeover.py
@@ -11,7 +11,7 @@
 from capershelf.config import Config
 from capershelf.stream import standing
 from capershelf.stream.fields import When, changes, keep_until_start
-from capershelf.stream.standing import Offence
+from capershelf.stream.standing import RuleViolation
 
 LOCAL_KEYS = ("stream", "memory", "name")  # a service must not redirect or rename a proxy
 
@@ -43,26 +43,26 @@
     open_classes: Mapping[str, float],
     strict: bool,
     environ: Mapping[str, str],
-) -> ApplicablePlan | Offence:
+) -> ApplicablePlan | RuleViolation:
     """Check a version and build the configuration to apply.
 
     base: the proxy's own file; in_force: the current table; open_classes: the deadlines of the classes with
     open calls; strict: refuse a version that has fields which only a start can change.
     """
-    if offences := standing.check(document, contract_of(base), open_classes):
-        return offences[0]
+    if violations := standing.check(document, contract_of(base), open_classes):
+        return violations[0]
     for key in LOCAL_KEYS:
         if key in document:
-            return Offence("not-streamed", key, "only the proxy's own file may hold it")
+            return RuleViolation("not-streamed", key, "only the proxy's own file may hold it")
     wanted = merged(base, document)
     effective = keep_until_start(in_force, wanted)
     notes = tuple(change.path for change in changes(in_force, wanted) if change.when is When.NEXT_START)
     if strict and notes:
-        return Offence("next-start", notes[0], "only a start can change it")
+        return RuleViolation("next-start", notes[0], "only a start can change it")
     try:
         config = configuration.read(effective, environ)
         configuration.read(wanted, environ)  # the next start must be able to read it as well
         control.validate(config.settings)
     except (ValueError, TypeError, KeyError, AttributeError) as problem:
-        return Offence("senseless", "", str(problem))
+        return RuleViolation("senseless", "", str(problem))
     return ApplicablePlan(config, notes)
--- a/tests/test_stream_decisions.py
+++ b/tests/test_stream_decisions.py
@@ -122,13 +122,13 @@
     assert found.notes == ("listen", "planners")
     assert (found.config.planners, found.config.settings.max_attempts) == (1, 4)
     refused = takeover.plan(OWN, OWN, wanted, {}, True, {})
-    assert isinstance(refused, standing.Offence)
+    assert isinstance(refused, standing.RuleViolation)
     assert (refused.code, refused.path) == ("next-start", "listen")
     for own in takeover.LOCAL_KEYS:
         refused = takeover.plan(OWN, OWN, {own: OWN.get(own, {})}, {}, False, {})
-        assert isinstance(refused, standing.Offence)
+        assert isinstance(refused, standing.RuleViolation)
     refused = takeover.plan(OWN, OWN, {"settings": {}}, {}, False, {})
-    assert isinstance(refused, standing.Offence)
+    assert isinstance(refused, standing.RuleViolation)
     assert refused.code == "senseless"
 
 
--- a/tests/test_stream_running.py
+++ b/tests/test_stream_running.py
@@ -316,9 +316,9 @@
     service.wait("has", "1.6")  # the same text, signed soundly
     trusted = tmp_path / "trusted" / "ours.pub"
     trusted.write_text(trusted.read_text() + "revoked\n")
-    for peer in list(service.service._peers.values()):
+    for peer in list(service.service._connections.values()):
         peer.connection.close()  # keys are read anew for each connection
-    until(lambda: not service.service._peers)
+    until(lambda: not service.service._connections)
     service.wait("connected", True)
     push(folder, attempts(2), "--sign-with", str(keys / "ours.key"))
     service.wait("refuse", "1.7")
@@ -401,7 +401,7 @@
     assert service.proxy("stranger") == {}
     issue("server")  # the same files anew: the next connection uses them
     issue("client")
-    for peer in list(service.service._peers.values()):
+    for peer in list(service.service._connections.values()):
         peer.connection.close()
     push(folder, attempts(3))
     service.wait("has", "1.2")
--- a/tests/test_stream_size.py
+++ b/tests/test_stream_size.py
@@ -12,7 +12,14 @@
 from capershelf.stream import document, protocol
 from capershelf.stream.ledger import VersionNumber
 from capershelf.stream.rollout import Plan, Rollout
-from capershelf.stream.service import SCAN_MS, STATE, ControlService, End, Line, Peer
+from capershelf.stream.service import (
+    SCAN_INTERVAL_MS,
+    STATE_FILE,
+    ControlService,
+    End,
+    MessageReceived,
+    ProxyConnection,
+)
 
 FOLLOWERS = 60
 
@@ -48,8 +55,8 @@
         self.service._disk.write = counted  # type: ignore[method-assign]
         self.connections = [FakeConnection() for _ in range(FOLLOWERS)]
         for number, connection in enumerate(self.connections):
-            end = protocol.ServiceSession(self.service._shelf)
-            self.service._peers[number] = Peer(connection, end, self.clock.now_ms())  # type: ignore[arg-type]
+            end = protocol.ServiceSession(self.service._cache)
+            self.service._connections[number] = ProxyConnection(connection, end, self.clock.now_ms())  # type: ignore[arg-type]
         self.look()
         for number in range(FOLLOWERS):
             self.say(
@@ -58,14 +65,14 @@
             )
 
     def say(self, number: int, message: dict[str, Any]) -> None:
-        self.service._take(Line(number, protocol.encode(message)))
+        self.service._process(MessageReceived(number, protocol.encode(message)))
 
     def look(self) -> None:
-        self.clock.advance(SCAN_MS)
-        self.service._take(None)
+        self.clock.advance(SCAN_INTERVAL_MS)
+        self.service._process(None)
 
     def state(self) -> dict[str, Any]:
-        found: dict[str, Any] = json.loads((self.folder / STATE).read_text())
+        found: dict[str, Any] = json.loads((self.folder / STATE_FILE).read_text())
         return found
 
     def end(self) -> None:
