--- a/capershelf/stream/__init__.py
+++ b/capershelf/stream/__init__.py
@@ -1,8 +1,8 @@
 """Streamed configuration: numbered versions from a control service, each acknowledged or refused.
 
-Pure decisions: `standing` (rules that no version may break), `fields` (what holds when), `ledger` (which
-version may follow which), `signing` (who may say so), `rollout` (which proxies get it when), `probation`
-(what is put back).  State without I/O: `document` (bytes, digests, deltas), `protocol` (both ends).  I/O:
-`follower` (a proxy's side), `service` (the control service).  Nothing here is imported unless an
-operator's file asks for it.
+Decisions without I/O: `standing` (validation rules), `fields` (when a change takes effect), `ledger` (which
+version may replace which), `signing` (who may publish), `rollout` (which proxies get a version when),
+`probation` (when a version is rolled back).  State without I/O: `document` (bytes, digests, deltas),
+`protocol` (both ends).  I/O: `follower` (the proxy's side), `service` (the control service).  Nothing here is
+imported unless an operator's file enables it.
 """
--- a/capershelf/stream/document.py
+++ b/capershelf/stream/document.py
@@ -1,4 +1,4 @@
-"""A version's bytes: canonical JSON, its digest, and deltas against a named base (RFC 7396).  Pure."""
+"""A version's bytes: canonical JSON, its digest, and deltas against a named base (RFC 7396).  No I/O."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 from blake3 import blake3
 
-MOST_BYTES = 1 << 20  # of one version, whole or delta
-DEPTH = 24  # of brackets within each other
+MOST_BYTES = 1 << 20  # of one version, complete or as a delta
+DEPTH = 24  # nesting of brackets
 NO_BRACKETS = bytes(byte for byte in range(256) if byte not in b"[]{}")
 
 
 class UnreadableError(ValueError):
-    """Bytes that are no document."""
+    """The bytes are not a valid document."""
 
 
 def canonical(document: Any) -> bytes:
-    """One spelling for one document: sorted keys, no spaces, UTF-8."""
+    """The unique encoding of a document: JSON with sorted keys, without spaces, in UTF-8."""
     return json.dumps(
         document, sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False
     ).encode()
 
 
 def digest(data: bytes) -> str:
-    """BLAKE3, 64 hex digits."""
+    """The BLAKE3 digest as 64 hex digits."""
     return blake3(data).hexdigest()
 
 
 def read(data: bytes) -> dict[str, Any]:
-    """The document in the bytes; UnreadableError says why there is none."""
+    """Parse a document; raises UnreadableError if the bytes are not a valid one."""
     depth = deepest = 0
-    for byte in data.translate(None, NO_BRACKETS):  # those within texts count too: nobody needs so many
+    for byte in data.translate(None, NO_BRACKETS):  # brackets in strings count too
         if byte in b"[{":
             depth += 1
             deepest = max(deepest, depth)
@@ -53,7 +53,7 @@
 
 
 def delta(base: dict[str, Any], target: dict[str, Any]) -> dict[str, Any]:
-    """The merge patch that makes target of base.  Lists go whole; null takes a key away."""
+    """The merge patch that turns base into target.  Lists are replaced as a whole; null removes a key."""
     patch: dict[str, Any] = dict.fromkeys(base.keys() - target.keys())
     for key, value in target.items():
         if key not in base:
@@ -67,7 +67,7 @@
 
 
 def apply(base: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
-    """The base with the patch applied; neither is changed."""
+    """A copy of the base with the patch applied."""
     merged = dict(base)
     for key, value in patch.items():
         if value is None:
--- a/capershelf/stream/fields.py
+++ b/capershelf/stream/fields.py
@@ -1,8 +1,8 @@
-"""When each field of a new version holds.  Pure.
+"""When a changed field of a new version takes effect.  No I/O.
 
 now         in every planner at the same moment, for open calls too
-new calls   for calls taken from then on; open ones keep what they were taken under
-next start  taken and noted in the acknowledgement, or refused where the operator wants it so
+new calls   for calls accepted from then on; open calls keep the earlier value
+next start  accepted and listed in the acknowledgement, or refused if the operator asks for that
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class When(Enum):
-    """From when on a field holds."""
+    """When a changed field takes effect."""
 
     NOW = "now"
     NEW_CALLS = "new calls"
     NEXT_START = "next start"
 
 
-# The first that matches; anything else holds from the next start on.
+# The first match applies; any new_value field takes effect at the next start.
 FIELDS: tuple[tuple[str, When], ...] = (
     (r"settings\.categories(\[\d+\])?(\..*)?", When.NEW_CALLS),
     (r"settings\.family-info\.(pools-by-class|channels-needed)(\[.*)?", When.NEW_CALLS),
@@ -51,41 +51,41 @@
 
 
 def when_of(path: str) -> When:
-    """From when on a new value at this path holds."""
+    """When a new value at this path takes effect."""
     return next((when for pattern, when in _COMPILED if pattern.fullmatch(path)), When.NEXT_START)
 
 
 def changes(old: Any, new: Any) -> list[Change]:
-    """Every field that differs, in the order of their paths."""
-    return [Change(path, when_of(path)) for path in sorted(set(_differing(old, new, "")))]
+    """All fields that differ, sorted by path."""
+    return [Change(path, when_of(path)) for path in sorted(set(_changed_paths(old, new, "")))]
 
 
-def _differing(old: Any, new: Any, path: str) -> Iterator[str]:
+def _changed_paths(old: Any, new: Any, path: str) -> Iterator[str]:
     if isinstance(old, Mapping) and isinstance(new, Mapping):
         for key in old.keys() | new.keys():
-            where = f"{path}.{key}" if path else str(key)
+            field_path = f"{path}.{key}" if path else str(key)
             if key in old and key in new:
-                yield from _differing(old[key], new[key], where)
+                yield from _changed_paths(old[key], new[key], field_path)
             else:
-                yield where
+                yield field_path
     elif isinstance(old, list) and isinstance(new, list) and len(old) == len(new):
-        for index, (one, other) in enumerate(zip(old, new, strict=True)):
-            yield from _differing(one, other, f"{path}[{index}]")
+        for index, (old_value, new_value) in enumerate(zip(old, new, strict=True)):
+            yield from _changed_paths(old_value, new_value, f"{path}[{index}]")
     elif old != new:
         yield path
 
 
 def keep_until_start(old: Mapping[str, Any], new: Mapping[str, Any], path: str = "") -> dict[str, Any]:
-    """The new table with every field that only a start may change as it is now."""
+    """The new table, but with the old value of each field that only a start can change."""
     kept: dict[str, Any] = {}
     for key in [*old, *(key for key in new if key not in old)]:
-        where = f"{path}.{key}" if path else str(key)
-        one, other = old.get(key), new.get(key)
-        if isinstance(one, Mapping) and isinstance(other, Mapping):
-            kept[key] = keep_until_start(one, other, where)
-        elif when_of(where) is When.NEXT_START:
+        field_path = f"{path}.{key}" if path else str(key)
+        old_value, new_value = old.get(key), new.get(key)
+        if isinstance(old_value, Mapping) and isinstance(new_value, Mapping):
+            kept[key] = keep_until_start(old_value, new_value, field_path)
+        elif when_of(field_path) is When.NEXT_START:
             if key in old:
-                kept[key] = one
+                kept[key] = old_value
         elif key in new:
-            kept[key] = other
+            kept[key] = new_value
     return kept
--- a/capershelf/stream/follower.py
+++ b/capershelf/stream/follower.py
@@ -22,10 +22,10 @@
 from capershelf.net.websocket import WebSocket
 from capershelf.stream import document as doc
 from capershelf.stream import protocol, takeover
-from capershelf.stream.keep import Keep
+from capershelf.stream.keep import VersionStore
 from capershelf.stream.ledger import VersionHistory, VersionNumber
-from capershelf.stream.order import Order
-from capershelf.stream.probation import Measure, Probation, Terms
+from capershelf.stream.order import ServiceFailover
+from capershelf.stream.probation import OutcomeWindow, Probation, ProbationTerms
 from capershelf.stream.signing import KeyRing
 from capershelf.stream.standing import RuleViolation
 
@@ -104,7 +104,7 @@
         base: Config,
         started: InForce,
         ring: Callable[[], KeyRing | None],
-        keep: Keep | None,
+        store: VersionStore | None,
         host: Host,
         clock: Clock,
         release: str,
@@ -112,13 +112,13 @@
     ) -> None:
         self.inbox: Inbox[Opened | MessageReceived | Closed | Rebase | End] = Inbox(clock)
         self._settings, self._base, self._host, self._clock = settings, base, host, clock
-        self._keep, self._environ = keep, environ
+        self._store, self._environ = store, environ
         ledger = VersionHistory(started.number, started.digest)
         self._ring = ring
         self._session = protocol.ProxySession(base.name, release, ledger, ring())
         self._session.base = started.document
         self._in_force, self._previous = started, InForce()
-        self._order = Order(settings.services, base.seed)
+        self._failover = ServiceFailover(settings.services, base.seed)
         self._identity = Identity(settings.ca, settings.certificate, settings.key_file)
         self._connection: Connection | None = None
         self._connection_number = 0  # of the connection
@@ -128,7 +128,7 @@
         self._fetching: protocol.Fetch | None = None
         self._queue_slots = threading.Semaphore(MAX_QUEUED_MESSAGES)
         self._stopped = False
-        self._measure = Measure(max(1000.0, settings.probation_ms))
+        self._outcomes = OutcomeWindow(max(1000.0, settings.probation_ms))
         self._last_outcomes = (0, 0)
         self._probation: Probation | None = None
 
@@ -136,7 +136,7 @@
     def run(self) -> None:
         """Connect to one service after another until the end."""
         while not self._stopped:
-            service, at_ms = self._order.next(self._clock.now_ms())
+            service, at_ms = self._failover.next(self._clock.now_ms())
             while not self._stopped and self._clock.now_ms() < at_ms:
                 self._step(at_ms)
             if not self._stopped:
@@ -149,7 +149,7 @@
                         service=service,
                     )
                     self._disconnect("internal error")
-                self._order.failed()
+                self._failover.record_failure()
 
     def _follow(self, service: str) -> None:
         """Connect to the service and process events until the connection ends."""
@@ -263,7 +263,7 @@
             self._disconnect(str(problem))
             return
         if message["type"] == "welcome":
-            self._order.served()
+            self._failover.record_success()
         self._carry_out(self._session.receive(message, now_ms))
         if self._session.fetch is not self._fetching:
             self._fetching = self._session.fetch
@@ -343,15 +343,15 @@
         )
         self._carry_out(self._session.accept(arrived, found.notes))
         if self._settings.probation_ms > 0:
-            terms = Terms(self._settings.probation_ms, self._settings.margin, self._settings.least)
+            terms = ProbationTerms(self._settings.probation_ms, self._settings.margin, self._settings.least)
             self._probation = Probation(terms, self._clock.now_ms(), before)
 
     def _save(self) -> None:
         current = self._in_force
-        if self._keep is None or current.number is None or current.document is None:
+        if self._store is None or current.number is None or current.document is None:
             return
         try:
-            self._keep.save(
+            self._store.save(
                 current.number, current.digest, doc.canonical(current.document), self._clock.now_ms()
             )
         except OSError as problem:
@@ -387,12 +387,12 @@
         """The outcomes of the last probation period."""
         now_ms = self._clock.now_ms()
         self._record_outcomes(now_ms)
-        return self._measure.since(now_ms - self._settings.probation_ms)
+        return self._outcomes.since(now_ms - self._settings.probation_ms)
 
     def _record_outcomes(self, now_ms: float) -> None:
-        given, refused = self._host.outcomes()
-        self._measure.note(now_ms, given - self._last_outcomes[0], refused - self._last_outcomes[1])
-        self._last_outcomes = given, refused
+        total, refused = self._host.outcomes()
+        self._outcomes.record(now_ms, total - self._last_outcomes[0], refused - self._last_outcomes[1])
+        self._last_outcomes = total, refused
 
     def _check_probation(self, now_ms: float) -> None:
         if self._settings.probation_ms <= 0:
@@ -400,7 +400,7 @@
         self._record_outcomes(now_ms)
         if self._probation is None:
             return
-        verdict = self._probation.verdict(now_ms, self._measure.since(self._probation.began_ms))
+        verdict = self._probation.verdict(now_ms, self._outcomes.since(self._probation.began_ms))
         if not verdict:
             return
         self._probation = None
--- a/capershelf/stream/keep.py
+++ b/capershelf/stream/keep.py
@@ -1,4 +1,4 @@
-"""The last good version in a folder, in two generations (capershelf/memory/generations.py)."""
+"""Stores the last good version in a folder, in two generations (capershelf/memory/generations.py)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 FORMAT = 1
 
 
-class Kept(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class StoredVersion(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """A version that was in force, as canonical JSON."""
 
     proxy: str
@@ -26,19 +26,23 @@
 
     @property
     def number(self) -> VersionNumber:
+        """Epoch and version together."""
         return VersionNumber(self.epoch, self.version)
 
 
-class Keep:
-    """One thread at a time."""
+class VersionStore:
+    """The stored versions of one proxy.  Not thread-safe."""
 
     def __init__(self, disk: Disk, proxy: str) -> None:
         self._files, self._proxy = Generations(disk, "version"), proxy
         self._generation = 0
 
-    def load(self) -> tuple[Kept | None, list[str]]:
-        """The newest whole one, a line for each file set aside; NewerError where a later release wrote."""
-        found, said = [], []
+    def load(self) -> tuple[StoredVersion | None, list[str]]:
+        """The newest intact version and a message for each file set aside.
+
+        Raises NewerError for a file that a later release wrote.
+        """
+        found, messages = [], []
         for name, data in list(self._files.read()):
             try:
                 found.append(self._read(data))
@@ -46,15 +50,15 @@
                 raise NewerError(f"{name}: {problem}") from problem
             except (SpoiltError, RefusedError) as problem:
                 kind = "refused" if isinstance(problem, RefusedError) else "spoilt"
-                said.append(f"{name}: {problem}; kept as {self._files.set_aside(name, kind)}")
+                messages.append(f"{name}: {problem}; kept as {self._files.set_aside(name, kind)}")
         newest = max(found, key=lambda kept: kept.generation, default=None)
         self._generation = newest.generation if newest is not None else 0
-        return newest, said
+        return newest, messages
 
-    def _read(self, data: bytes) -> Kept:
+    def _read(self, data: bytes) -> StoredVersion:
         _, body = unframe(MAGIC, FORMAT, data, None)
         try:
-            kept = msgspec.msgpack.decode(body, type=Kept)
+            kept = msgspec.msgpack.decode(body, type=StoredVersion)
         except msgspec.DecodeError as problem:
             raise SpoiltError(f"the body can't be read: {problem}") from problem
         if kept.proxy != self._proxy:
@@ -64,8 +68,8 @@
         return kept
 
     def save(self, number: VersionNumber, digest: str, document: bytes, now_ms: float) -> None:
-        """OSError leaves the one before."""
-        kept = Kept(
+        """Write a version; on OSError the previous one remains."""
+        kept = StoredVersion(
             proxy=self._proxy,
             generation=self._generation + 1,
             epoch=number.epoch,
--- a/capershelf/stream/probation.py
+++ b/capershelf/stream/probation.py
@@ -1,8 +1,8 @@
-"""Whether a version that was taken does harm.  Pure; off unless the operator gives it a time.
+"""Detects a version in force that does harm.  No I/O; off unless the operator sets its duration.
 
-The measure is the share of calls refused or failed here: before the version, over the same length of
-time, and since. A version is put back once it has refused `margin` more of at least `least` calls than
-the one before.
+It compares the share of calls refused or failed at this proxy since the version came into force with the
+share in a period of the same length before.  A version is rolled back when its share exceeds the earlier
+one by more than `margin`, over at least `min_calls` calls.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """time_ms 0: no probation."""
+class ProbationTerms:
+    """The parameters of a probation; duration_ms 0 turns it off."""
 
-    time_ms: float = 0.0
+    duration_ms: float = 0.0
     margin: float = 0.2
-    least: int = 50
+    min_calls: int = 50
 
 
-class Measure:
-    """Outcomes in a sliding window, in slots, so that its size does not go with the calls."""
+class OutcomeWindow:
+    """Counts of outcomes in a sliding window of slots, so that memory does not grow with the calls."""
 
     SLOTS = 32
 
@@ -29,38 +29,38 @@
         self._slot_ms = max(1.0, window_ms / self.SLOTS)
         self._slots: deque[tuple[int, list[int]]] = deque(maxlen=self.SLOTS)
 
-    def note(self, now_ms: float, given: int, refused: int) -> None:
-        """Outcomes given since the last note, and how many of them were no."""
+    def record(self, now_ms: float, total: int, refused: int) -> None:
+        """Add the outcomes since the last call and how many of them were refusals or failures."""
         slot = int(now_ms // self._slot_ms)
         if not self._slots or self._slots[-1][0] != slot:
             self._slots.append((slot, [0, 0]))
         counts = self._slots[-1][1]
-        counts[0] += given
+        counts[0] += total
         counts[1] += refused
 
     def since(self, at_ms: float) -> tuple[int, int]:
-        """(given, refused) from the first slot that lies wholly after at_ms."""
+        """(total, refused), counted from the first slot that begins after at_ms."""
         first = int(at_ms // self._slot_ms) + 1
         kept = [counts for slot, counts in self._slots if slot >= first]
         return sum(c[0] for c in kept), sum(c[1] for c in kept)
 
 
 class Probation:
-    """One version's trial, against what was before it."""
+    """The observation of one version against the outcomes before it."""
 
-    def __init__(self, terms: Terms, began_ms: float, before: tuple[int, int]) -> None:
+    def __init__(self, terms: ProbationTerms, began_ms: float, before: tuple[int, int]) -> None:
         self.terms, self.began_ms = terms, began_ms
-        given, refused = before
-        self._before = refused / given if given else 0.0
+        total, refused = before
+        self._share_before = refused / total if total else 0.0
 
     def verdict(self, now_ms: float, since: tuple[int, int]) -> str:
-        """'' while it goes on, 'passed', or why the version is to be put back."""
-        given, refused = since
-        if given >= self.terms.least:
-            share = refused / given
-            if share - self._before > self.terms.margin:
+        """'' while it lasts, 'passed', or the reason to roll the version back."""
+        total, refused = since
+        if total >= self.terms.min_calls:
+            share = refused / total
+            if share - self._share_before > self.terms.margin:
                 return (
-                    f"{100 * share:.0f}% of {given} calls refused or failed since, "
-                    f"{100 * self._before:.0f}% before"
+                    f"{100 * share:.0f}% of {total} calls refused or failed since, "
+                    f"{100 * self._share_before:.0f}% before"
                 )
-        return "passed" if now_ms - self.began_ms >= self.terms.time_ms else ""
+        return "passed" if now_ms - self.began_ms >= self.terms.duration_ms else ""
--- a/capershelf/stream/rollout.py
+++ b/capershelf/stream/rollout.py
@@ -1,9 +1,9 @@
-"""Which proxies get a new version when: by stages, on only when all of a stage have passed.  Pure.
+"""Staged rollout of a version: the next stage begins when all proxies of the current one passed.  No I/O.
 
-Proxies are in an order of their own for each version, by a hash, so that not the same ones always go
-first.  A stage is a share of all proxies that are known.  It is passed when each of them that is
-connected has acknowledged and its probation time is over; one that refuses, or puts the version back,
-halts the roll-out until another version comes.
+A hash orders the proxies anew for each version, so that the first stage is not always the same proxies.  A
+stage is a share of all known proxies.  It is passed when each connected proxy in it has acknowledged the
+version and the observation time is over.  A proxy that refuses the version or rolls it back halts the
+rollout until another version is published.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Shares of all proxies, growing, the last 1; and how long each stage is watched after its last ack."""
+    """Ascending shares of all proxies, the last one 1, and how long to observe a stage after its last ack."""
 
     stages: tuple[float, ...] = (1.0,)
     watch_ms: float = 0.0
@@ -32,39 +32,41 @@
 
 @dataclass(slots=True)
 class Rollout:
-    """One version on its way through the fleet."""
+    """The rollout of one version to the fleet."""
 
     number: VersionNumber
     plan: Plan
     stage: int = 0
     halted: str = ""
-    acked: dict[str, float] = field(default_factory=dict)  # when
+    acked: dict[str, float] = field(default_factory=dict)  # time in ms
 
-    def order(self, proxy: str) -> bytes:
+    def sort_key(self, proxy: str) -> bytes:
+        """The position of the proxy in this version's order."""
         return blake3(f"{self.number}/{proxy}".encode()).digest(8)
 
     def chosen(self, proxies: set[str]) -> set[str]:
-        """Those of the stages so far; at least one.  Sorts all of them: ask once for many proxies."""
-        most = max(1, math.ceil(self.plan.stages[self.stage] * len(proxies) - 1e-9))
-        if most >= len(proxies):
+        """The proxies of the stages so far, at least one.  Sorts all proxies, so call it once for many."""
+        count = max(1, math.ceil(self.plan.stages[self.stage] * len(proxies) - 1e-9))
+        if count >= len(proxies):
             return proxies
-        return set(sorted(proxies, key=self.order)[:most])
+        return set(sorted(proxies, key=self.sort_key)[:count])
 
-    def due(self, proxy: str, chosen: set[str]) -> bool:
-        """Whether this proxy is to be offered the version now, where these are chosen."""
+    def should_offer(self, proxy: str, chosen: set[str]) -> bool:
+        """Whether to offer the version to this proxy, given the chosen proxies."""
         return proxy in self.acked or not self.halted and proxy in chosen
 
     def ack(self, proxy: str, now_ms: float) -> None:
+        """Record the first acknowledgement of a proxy."""
         self.acked.setdefault(proxy, now_ms)
 
     def refuse(self, proxy: str, code: str, text: str) -> None:
-        """A proxy will not have it, or has put it back."""
+        """Halt the rollout: a proxy refused the version or rolled it back."""
         self.acked.pop(proxy, None)
         if not self.halted:
             self.halted = f"{proxy}: {text} [{code}]"
 
     def advance(self, proxies: set[str], connected: set[str], now_ms: float) -> bool:
-        """Go on to the next stage if this one has passed; whether it did."""
+        """Start the next stage if the current one passed; returns whether it did."""
         if self.halted or self.stage == len(self.plan.stages) - 1:
             return False
         chosen = self.chosen(proxies) & connected
@@ -77,6 +79,7 @@
 
     @property
     def state(self) -> str:
+        """The progress, as a text for operators."""
         if self.halted:
             return f"halted at stage {self.stage + 1}: {self.halted}"
         return f"stage {self.stage + 1} of {len(self.plan.stages)}"
--- a/capershelf/stream/service.py
+++ b/capershelf/stream/service.py
@@ -320,7 +320,7 @@
         """Offer the newest version if the rollout has reached this proxy, else the previous one."""
         if self._rollout is None or self._newest is None:
             return
-        due = self._rollout.due(peer.session.proxy, chosen)
+        due = self._rollout.should_offer(peer.session.proxy, chosen)
         target = self._newest if due else self._previous
         if target is None or target.digest in (peer.session.digest, peer.offered):
             return
--- a/capershelf/stream/signing.py
+++ b/capershelf/stream/signing.py
@@ -1,8 +1,7 @@
-"""Who may publish: Ed25519 signatures under several keys, with expiry and revocation.  Pure but for
-reading keys.
+"""Ed25519 signatures of versions, under several keys with expiry and revocation.  No I/O but reading keys.
 
-What is signed is a statement of a version's epoch, number, digest and expiry, so that neither another
-text nor another number, nor the same version after its time, passes for it.
+A signature covers the version's epoch, number, digest and expiry, so that it is not valid for another
+document, for another number or after its expiry.
 """
 
 from __future__ import annotations
@@ -16,13 +15,13 @@
 
 from capershelf.stream.ledger import VersionNumber
 
-TAG = "capershelf-version-1"
+STATEMENT_TAG = "capershelf-version-1"
 KEY_BYTES = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Signature:
-    """What comes with a version; all empty where it is unsigned."""
+    """The signature of a version; all fields are empty if the version is unsigned."""
 
     key: str = ""
     expires_ms: float = 0.0
@@ -31,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """A public key in force, until then (0: without end)."""
+    """A trusted public key; it expires at until_ms (0: never)."""
 
     name: str
     public: Ed25519PublicKey
@@ -41,12 +40,13 @@
 
 def statement(number: VersionNumber, digest: str, expires_ms: float) -> bytes:
     """The bytes that are signed."""
-    return f"{TAG}\n{number.epoch}\n{number.version}\n{digest}\n{expires_ms:.0f}\n".encode()
+    return f"{STATEMENT_TAG}\n{number.epoch}\n{number.version}\n{digest}\n{expires_ms:.0f}\n".encode()
 
 
 def sign(
     private: Ed25519PrivateKey, name: str, number: VersionNumber, digest: str, expires_ms: float
 ) -> Signature:
+    """Sign a version."""
     return Signature(name, expires_ms, private.sign(statement(number, digest, expires_ms)).hex())
 
 
@@ -59,7 +59,7 @@
     def fault(
         self, number: VersionNumber, digest: str, signature: Signature, now_ms: float
     ) -> tuple[str, str]:
-        """A code and a text for what is wrong with the signature; empty: nothing."""
+        """The code and text of what is wrong with the signature; both empty if it is valid."""
         if not signature.value:
             return "unsigned", f"{number} has no signature"
         key = self._keys.get(signature.key)
@@ -80,7 +80,7 @@
 
 
 def read_private(path: Path) -> Ed25519PrivateKey:
-    """A key to sign with: 64 hex digits in a file that only its owner may read; ValueError else."""
+    """Read a private key: 64 hex digits in a file readable by its owner only; raises ValueError."""
     try:
         mode, text = path.stat().st_mode, path.read_text()
     except (OSError, UnicodeDecodeError) as problem:
@@ -91,7 +91,7 @@
 
 
 def read_ring(folder: Path) -> KeyRing:
-    """All NAME.pub in a folder: 64 hex digits, then `until MS` or `revoked` on lines of their own."""
+    """Read all NAME.pub in a folder: 64 hex digits, then lines `until MS` or `revoked`."""
     keys = []
     try:
         files = sorted(folder.glob("*.pub"))
--- a/capershelf/stream/stream.py
+++ b/capershelf/stream/stream.py
@@ -1,4 +1,4 @@
-"""The door: what `serve` opens before its node, starts beside it, and ends."""
+"""Streamed configuration for `serve`: opened before the node, started with it and ended with it."""
 
 from __future__ import annotations
 
@@ -18,101 +18,101 @@
 from capershelf.stream import document as doc
 from capershelf.stream import standing, takeover
 from capershelf.stream.follower import End, Follower, Host, InForce, Rebase
-from capershelf.stream.keep import Keep, Kept
+from capershelf.stream.keep import VersionStore, StoredVersion
 from capershelf.stream.signing import KeyRing, read_ring
 
-SWITCH_S = 0.0005  # between switches of threads, where configuration is streamed
+THREAD_SWITCH_INTERVAL_S = 0.0005  # see start()
 
 
 class Stream:
     """Streamed configuration for one proxy.
 
-    config: what to start with, which is the proxy's own file under the last good version that was kept.
+    config: the configuration to start with, the proxy's own file with the last good version on top.
     """
 
     def __init__(self, base: Config, environ: Mapping[str, str], clock: Clock | None = None) -> None:
         assert base.stream is not None
         self._base, self._environ, self._settings = base, environ, base.stream
         self._clock = clock or SystemClock()
-        self._read_ring()  # keys that can't be read are named before anything starts
+        self._read_ring()  # report unreadable keys before anything starts
         self._folder = Folder(Path(base.stream.folder)) if base.stream.folder else None
-        self._keep: Keep | None = None
+        self._store: VersionStore | None = None
         self._follower: Follower | None = None
         self.config, self._started = base, InForce()
-        if (kept := self._load()) is not None:
-            self._begin_with(kept)
+        if (stored := self._load()) is not None:
+            self._start_with(stored)
 
     def _read_ring(self) -> KeyRing | None:
         return read_ring(Path(self._settings.keys)) if self._settings.keys else None
 
-    def _load(self) -> Kept | None:
+    def _load(self) -> StoredVersion | None:
         if self._folder is None:
             return None
         try:
             self._folder.lock()
-            keep = Keep(self._folder, self._base.name)
-            kept, said = keep.load()
+            store = VersionStore(self._folder, self._base.name)
+            stored, messages = store.load()
         except (BusyError, NewerError, OSError) as problem:
             logger.warning(
-                "stream: {problem}; no version is read or kept there",
+                "stream: {problem}; versions are neither loaded nor saved",
                 event="version-folder-unusable",
                 problem=problem,
             )
             self._folder.unlock()
             return None
-        for line in said:
+        for line in messages:
             logger.warning("stream: {problem}", event="version-set-aside", problem=line)
-        self._keep = keep
-        return kept
+        self._store = store
+        return stored
 
-    def _begin_with(self, kept: Kept) -> None:
-        """The version of before, marked as old: a control service may have a newer one."""
-        age_s = (self._clock.now_ms() - kept.saved_ms) / 1000.0
+    def _start_with(self, stored: StoredVersion) -> None:
+        """Start with the stored version; a control service may offer a newer one."""
+        age_s = (self._clock.now_ms() - stored.saved_ms) / 1000.0
         try:
-            found = doc.read(kept.document)
+            found = doc.read(stored.document)
             if violations := standing.check(found, takeover.contract_of(self._base.table)):
                 raise ValueError(str(violations[0]))
             self.config = configuration.read(takeover.merged(self._base.table, found), self._environ)
         except (ValueError, TypeError, KeyError, AttributeError) as problem:
             logger.warning(
-                "stream: version {version} that was kept can't be used: {problem}",
+                "stream: the stored version {version} cannot be used: {problem}",
                 event="version-kept-unusable",
-                version=kept.number,
+                version=stored.number,
                 problem=problem,
             )
             return
-        self._started = InForce(kept.number, kept.digest, found)
+        self._started = InForce(stored.number, stored.digest, found)
         logger.info(
-            "stream: starts with version {version}, kept {age_s:.0f} s ago",
+            "stream: starting with version {version}, saved {age_s:.0f} s ago",
             event="version-kept",
-            version=kept.number,
+            version=stored.number,
             age_s=age_s,
         )
 
     def start(self, host: Host) -> None:
-        """Follow the control services from here on."""
+        """Start following the control services."""
         self._follower = Follower(
             self._settings,
             self._base,
             self._started,
             self._read_ring,
-            self._keep,
+            self._store,
             host,
             self._clock,
             VERSION,
             self._environ,
         )
-        # Checking a version is some 10 ms of work beside the planners.  At the usual 5 ms between switches a
-        # planner that wakes up meanwhile would wait so long for its turn, and its calls with it.
-        sys.setswitchinterval(SWITCH_S)
+        # Checking a version takes about 10 ms of CPU time.  At the default switch interval (5 ms) a planner
+        # that wakes up meanwhile, and its calls, would wait that long for the interpreter lock.
+        sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         start_thread(self._follower.run, "stream")
 
     def rebase(self, config: Config) -> None:
-        """The proxy's own file was read again."""
+        """Apply the reloaded configuration file of the proxy."""
         if self._follower is not None:
             self._follower.inbox.put(Rebase(config))
 
     def end(self) -> None:
-        """Take nothing over any more."""
+        """Stop following: no further version is applied."""
         if self._follower is not None:
             self._follower.inbox.put(End())
