--- a/tests/test_stream_decisions.py
+++ b/tests/test_stream_decisions.py
@@ -1,4 +1,4 @@
-"""What may be streamed, what holds when, which version follows which, who signs, who gets it.  No I/O."""
+"""Validation, time of effect, version order, signatures, rollout and probation of versions.  No I/O."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """The operator's settings with one field another; DROP takes it away."""
+    """The operator's settings with one field changed, or removed for DROP."""
     table = copy.deepcopy({"settings": OWN["settings"]})
     at: Any = table
     *way, last = [int(word) if word.isdigit() else word for word in path.split("/")]
@@ -74,8 +74,8 @@
     ],
 )
 def test_each_rule_has_its_code_and_names_its_field(path: str, value: Any, code: str, where: str) -> None:
-    offences = standing.check(changed(path, value), CONTRACT, {"slot-lookup": 9000.0})
-    assert (code, where) in [(one.code, one.path) for one in offences]
+    violations = standing.check(changed(path, value), CONTRACT, {"slot-lookup": 9000.0})
+    assert (code, where) in [(one.code, one.path) for one in violations]
 
 
 def test_the_operators_own_file_and_what_is_more_careful_pass() -> None:
@@ -110,8 +110,8 @@
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400, database=None)
 @given(JSON)
 def test_no_document_of_any_shape_makes_the_checker_or_the_planning_raise(found: Any) -> None:
-    offences = standing.check(found, CONTRACT, {"slot-lookup": 9000.0})
-    if isinstance(found, dict) and not offences:
+    violations = standing.check(found, CONTRACT, {"slot-lookup": 9000.0})
+    if isinstance(found, dict) and not violations:
         takeover.plan(OWN, OWN, found, {}, False, {})
 
 
@@ -177,7 +177,7 @@
         doc.read(data)
 
 
-def test_the_ledger_believes_no_older_number_and_neither_of_two_that_disagree() -> None:
+def test_the_history_refuses_older_numbers_and_both_of_two_conflicting_versions() -> None:
     history = VersionHistory(VersionNumber(2, 5), "five")
     assert history.evaluate_offer(VersionNumber(2, 5), "five", "a").in_force
     assert history.evaluate_offer(VersionNumber(2, 5), "other", "a").code == "disagree"
@@ -236,7 +236,7 @@
     assert code(good) == ""
     assert code(good, now_ms=101.0) == "expired"
     assert code(good, at=VersionNumber(1, 8)) == code(good, text="other") == "bad-signature"
-    assert code(Signature("k", 200.0, good.value)) == "bad-signature"  # its time can't be put off
+    assert code(Signature("k", 200.0, good.value)) == "bad-signature"  # the expiry is signed too
     assert code(Signature("k", 100.0, "zz")) == "bad-signature"
     assert code(Signature()) == "unsigned"
     assert code(sign(other, "k", number, "digest", 100.0)) == "bad-signature"
--- a/tests/test_stream_running.py
+++ b/tests/test_stream_running.py
@@ -1,4 +1,4 @@
-"""Streamed configuration on loopback: a service, proxies under load, TLS, the last good version's file."""
+"""Streamed configuration over loopback: a service, proxies under load, TLS and the stored version."""
 
 from __future__ import annotations
 
@@ -28,8 +28,7 @@
 from capershelf.net.framing import Lines
 from capershelf.net.tls import Identity
 from capershelf.node import Node
-from capershelf.stream import follower
-from capershelf.stream import protocol as p
+from capershelf.stream import follower, protocol
 from capershelf.stream.keep import VersionStore
 from capershelf.stream.ledger import VersionHistory, VersionNumber
 from capershelf.stream.rollout import Plan
@@ -57,7 +56,7 @@
 
 
 class Service:
-    """A control service on a folder."""
+    """A control service that serves a folder."""
 
     def __init__(self, folder: Path, listen: str = "127.0.0.1:0", **more: Any) -> None:
         more.setdefault("plan", Plan())
@@ -72,7 +71,7 @@
         return self.service.fleet.proxies.get(name, {})
 
     def wait(self, what: str, wanted: Any) -> None:
-        """Until the proxy has, or has refused, this version."""
+        """Wait until the proxy has, or has refused, this version."""
 
         def come() -> bool:
             found = self.proxy().get(what)
@@ -86,7 +85,7 @@
 
 
 class Proxy:
-    """A node that follows, as `serve` puts it together."""
+    """A node with a follower, composed as `serve` does."""
 
     def __init__(self, stream: dict[str, Any], **changes: Any) -> None:
         table = {key: value for key, value in OWN.items() if key not in ("eureka", "websocket")}
@@ -146,7 +145,7 @@
 def test_under_load_every_call_has_one_outcome_while_versions_come_and_services_die(
     tmp_path: Path, ends: list[Any]
 ) -> None:
-    """Good, bad and truncated versions, a service that vanishes in the middle, and SIGHUP's reload."""
+    """Good, bad and truncated versions, a service that fails in between, and a reload by SIGHUP."""
     servers, port = [Answering(), Answering()], free_port()
     targets = [
         {"uid": f"s{n}", "endpoint": one.endpoint, "pod_group": n, "state": "up", "boot_ms": 0}
@@ -194,13 +193,13 @@
 
 
 class Liar:
-    """A service that vanishes in the middle: of a version, of a part, of a line, and says nothing of use."""
+    """A service that fails in the middle of a version, a part or a line, or sends nothing useful."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         self.cut = 0
-        self.published = p.Published.of(VersionNumber(1, 999), {"settings": {}, "pad": "x" * 50_000})
+        self.published = protocol.Published.of(VersionNumber(1, 999), {"settings": {}, "pad": "x" * 50_000})
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
@@ -210,11 +209,11 @@
             except OSError:
                 return
             sock.recv(4096)
-            shelf = p.VersionCache()
-            end = p.ServiceSession(shelf)
-            say = [step.message for step in end.offer(self.published) if isinstance(step, p.Send)]
+            shelf = protocol.VersionCache()
+            end = protocol.ServiceSession(shelf)
+            say = [step.message for step in end.offer(self.published) if isinstance(step, protocol.Send)]
             part = {"type": "part", "epoch": 1, "version": 999, "number": 0, "data": "AAAA" * 2000}
-            lines = [p.encode(one) + b"\n" for one in ({"type": "welcome", "speaks": 1}, *say, part)]
+            lines = [protocol.encode(one) + b"\n" for one in ({"type": "welcome", "speaks": 1}, *say, part)]
             data = b"".join(lines)
             sock.sendall(data[: len(data) - 100 * self.cut % len(data)] if self.cut else data[:-1])
             self.cut += 1
@@ -241,7 +240,10 @@
     logger.remove(sink)
     ends.append(second)
     assert any("starting with version 1.1, saved" in line for line in said)
-    assert (second.attempts, len(second.node.planners)) == (2, 2)  # what waited for a start holds now
+    assert (second.attempts, len(second.node.planners)) == (
+        2,
+        2,
+    )  # fields deferred to the next start are in effect
     second.end()
     held = (kept / "version.1").read_bytes()
     (kept / "version.1").write_bytes(held[:-3])
@@ -264,7 +266,7 @@
     service.wait("has", "1.2")
     planner = proxy.node.planners[0]
     pause = threading.Event()
-    for _ in range(400):  # until slots that lie wholly after the take-over have enough of them
+    for _ in range(400):  # until the slots after the change hold enough outcomes
         planner.calls.outcome_count, planner.calls.rejected_count = (
             planner.calls.outcome_count + 5,
             planner.calls.rejected_count + 5,
@@ -313,11 +315,11 @@
     service.wait("refuse", "1.6")
     signed = run.invoke(main, ["control", "sign", str(folder), "1.6", "--sign-with", str(keys / "ours.key")])
     assert signed.exit_code == 0
-    service.wait("has", "1.6")  # the same text, signed soundly
+    service.wait("has", "1.6")  # the same document with a valid signature
     trusted = tmp_path / "trusted" / "ours.pub"
     trusted.write_text(trusted.read_text() + "revoked\n")
     for peer in list(service.service._connections.values()):
-        peer.connection.close()  # keys are read anew for each connection
+        peer.connection.close()  # keys are read again for each connection
     until(lambda: not service.service._connections)
     service.wait("connected", True)
     push(folder, attempts(2), "--sign-with", str(keys / "ours.key"))
@@ -334,7 +336,7 @@
 
 
 def authority(folder: Path, name: str) -> Callable[[str], tuple[str, str]]:
-    """A CA, and what makes certificates from it."""
+    """A CA and a function that issues its certificates."""
     now = datetime.datetime.now(datetime.UTC)
     key = ec.generate_private_key(ec.SECP256R1())
     title = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
@@ -399,7 +401,7 @@
     service.wait("has", "1.1")
     assert proxy.attempts == 4
     assert service.proxy("stranger") == {}
-    issue("server")  # the same files anew: the next connection uses them
+    issue("server")  # replaces the files; the next connection uses them
     issue("client")
     for peer in list(service.service._connections.values()):
         peer.connection.close()
@@ -453,7 +455,7 @@
             CLOCK.now_ms() + 9000.0,
         )
         connection.start()
-        connection.send(p.encode({"type": "hello", "proxy": name, "speaks": [1], "can": ["whole"]}))
+        connection.send(protocol.encode({"type": "hello", "proxy": name, "speaks": [1], "can": ["whole"]}))
         peers.append(connection)
     until(lambda: len(service.service.fleet.proxies) == 3)
     push(tmp_path, attempts(4))
@@ -467,9 +469,9 @@
     seen: set[str] = set()
     until(lambda: [offered(name) for name in heard].count(True) == 1)
     [first] = seen
-    digest = p.Published.of(VersionNumber(1, 1), attempts(4)).digest
+    digest = protocol.Published.of(VersionNumber(1, 1), attempts(4)).digest
     connection = peers["abc".index(first)]
-    connection.send(p.encode({"type": "ack", "epoch": 1, "version": 1, "digest": digest, "notes": []}))
+    connection.send(protocol.encode({"type": "ack", "epoch": 1, "version": 1, "digest": digest, "notes": []}))
     until(lambda: [offered(name) for name in heard].count(True) == 3)
 
     def status() -> dict[str, Any]:
@@ -521,9 +523,9 @@
     assert old.poll() == "3"
     push(tmp_path, {"board": new.address})
     service.wait("has", "1.1")
-    assert new.poll({"rev": 9, "notices": []}) == "3"  # the numbering goes on
+    assert new.poll({"rev": 9, "notices": []}) == "3"  # the numbering continues
     assert new.poll() == "9"
-    proxy.node._stopping.set()  # as at SIGTERM, before the stream is told of its end
+    proxy.node._stopping.set()  # as at SIGTERM, before the stream receives End
     push(tmp_path, attempts(2))
     until(lambda: service.proxy().get("connected") is False)
     assert proxy.attempts == 6
@@ -545,27 +547,34 @@
 def test_a_clock_that_steps_over_an_expiry_lets_nothing_old_in_and_keeps_what_is_in_force() -> None:
     private = Ed25519PrivateKey.generate()
     ring = KeyRing((Key("k", private.public_key()),))
-    one = p.Published.of(VersionNumber(1, 1), attempts(4))
-    one = p.Published.of(one.number, one.document, sign(private, "k", one.number, one.digest, 1000.0))
-    two = p.Published.of(VersionNumber(1, 2), attempts(3))
-    two = p.Published.of(two.number, two.document, sign(private, "k", two.number, two.digest, 1000.0))
-    mine, theirs = p.ProxySession("p", "r", VersionHistory(), ring), p.ServiceSession(p.VersionCache())
+    one = protocol.Published.of(VersionNumber(1, 1), attempts(4))
+    one = protocol.Published.of(one.number, one.document, sign(private, "k", one.number, one.digest, 1000.0))
+    two = protocol.Published.of(VersionNumber(1, 2), attempts(3))
+    two = protocol.Published.of(two.number, two.document, sign(private, "k", two.number, two.digest, 1000.0))
+    mine, theirs = (
+        protocol.ProxySession("p", "r", VersionHistory(), ring),
+        protocol.ServiceSession(protocol.VersionCache()),
+    )
     mine.connected("s")
     mine.receive({"type": "welcome", "speaks": 1}, 999.0)
     theirs.receive({"type": "hello", "proxy": "p", "speaks": [1]})
 
-    def tell(published: p.Published, now_ms: float) -> list[p.Step]:
-        found: list[p.Step] = []
+    def tell(published: protocol.Published, now_ms: float) -> list[protocol.Step]:
+        found: list[protocol.Step] = []
         for step in theirs.offer(published):
-            assert isinstance(step, p.Send)
+            assert isinstance(step, protocol.Send)
             for asked in mine.receive(step.message, now_ms):
                 found.append(asked)
-                for part in theirs.receive(asked.message) if isinstance(asked, p.Send) else ():
-                    found += mine.receive(part.message, now_ms) if isinstance(part, p.Send) else []
+                for part in theirs.receive(asked.message) if isinstance(asked, protocol.Send) else ():
+                    found += mine.receive(part.message, now_ms) if isinstance(part, protocol.Send) else []
         return found
 
-    arrived = next(step for step in tell(one, 999.0) if isinstance(step, p.VersionReceived))
+    arrived = next(step for step in tell(one, 999.0) if isinstance(step, protocol.VersionReceived))
     mine.accept(arrived, ())
-    assert [step.code for step in tell(two, 1001.0) if isinstance(step, p.VersionRefused)] == ["expired"]
+    assert [step.code for step in tell(two, 1001.0) if isinstance(step, protocol.VersionRefused)] == [
+        "expired"
+    ]
     assert mine.history.good == VersionNumber(1, 1)
-    assert any(isinstance(step, p.VersionReceived) for step in tell(two, 998.0))  # the clock was set back
+    assert any(
+        isinstance(step, protocol.VersionReceived) for step in tell(two, 998.0)
+    )  # the clock was set back
--- a/tests/test_stream_size.py
+++ b/tests/test_stream_size.py
@@ -1,4 +1,4 @@
-"""A control service with many followers: a message or a look must not cost the square of the fleet."""
+"""A control service with many followers: the cost of a message or a scan must not grow with their square."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FakeConnection:
-    """Keeps what it is given to send."""
+    """Records the messages sent."""
 
     def __init__(self) -> None:
         self.sent: list[dict[str, Any]] = []
@@ -38,7 +38,7 @@
 
 
 class Rig:
-    """A service whose followers have said hello, without sockets or threads of theirs."""
+    """A service whose followers sent hello, without sockets or threads."""
 
     def __init__(self, folder: Path, plan: Plan) -> None:
         self.clock = ManualClock()
@@ -57,17 +57,17 @@
         for number, connection in enumerate(self.connections):
             end = protocol.ServiceSession(self.service._cache)
             self.service._connections[number] = ProxyConnection(connection, end, self.clock.now_ms())  # type: ignore[arg-type]
-        self.look()
+        self.scan()
         for number in range(FOLLOWERS):
-            self.say(
+            self.receive(
                 number,
                 {"type": "hello", "speaks": [1], "proxy": f"p{number:03d}", "release": "t", "can": ["whole"]},
             )
 
-    def say(self, number: int, message: dict[str, Any]) -> None:
+    def receive(self, number: int, message: dict[str, Any]) -> None:
         self.service._process(MessageReceived(number, protocol.encode(message)))
 
-    def look(self) -> None:
+    def scan(self) -> None:
         self.clock.advance(SCAN_INTERVAL_MS)
         self.service._process(None)
 
@@ -82,27 +82,27 @@
 
 def test_messages_of_a_whole_fleet_are_one_write_of_its_state(tmp_path: Path) -> None:
     rig = Rig(tmp_path, Plan())
-    rig.look()
+    rig.scan()
     before = rig.writes
     digest = rig.connections[0].sent[-1]["whole"]
     for number in range(FOLLOWERS):
-        rig.say(number, {"type": "ack", "epoch": 1, "version": 1, "digest": digest, "notes": []})
+        rig.receive(number, {"type": "ack", "epoch": 1, "version": 1, "digest": digest, "notes": []})
     assert rig.writes == before
-    rig.look()
+    rig.scan()
     assert rig.writes == before + 1
     assert len(rig.state()["rollout"]["acked"]) == FOLLOWERS
     for number in range(FOLLOWERS):
-        rig.say(number, {"type": "beat"})
-    rig.look()
+        rig.receive(number, {"type": "beat"})
+    rig.scan()
     assert rig.writes == before + 1, "beats change nothing"
     rig.end()
 
 
 def test_a_refusal_is_written_at_once_and_the_last_state_at_the_end(tmp_path: Path) -> None:
     rig = Rig(tmp_path, Plan())
-    rig.say(0, {"type": "refuse", "epoch": 1, "version": 1, "code": "c", "path": "", "text": "no"})
+    rig.receive(0, {"type": "refuse", "epoch": 1, "version": 1, "code": "c", "path": "", "text": "no"})
     assert rig.state()["rollout"]["halted"].startswith("p000")
-    rig.say(1, {"type": "ack", "epoch": 1, "version": 1, "digest": "d", "notes": []})
+    rig.receive(1, {"type": "ack", "epoch": 1, "version": 1, "digest": "d", "notes": []})
     assert "p001" not in rig.state()["rollout"]["acked"]
     rig.end()
     assert "p001" in rig.state()["rollout"]["acked"]
@@ -121,7 +121,7 @@
         return order(rollout, proxy)
 
     monkeypatch.setattr(Rollout, "sort_key", counted)
-    rig.look()
+    rig.scan()
     assert 0 < hashed <= 3 * FOLLOWERS
     rig.end()
 
