--- a/capershelf/stream/document.py
+++ b/capershelf/stream/document.py
@@ -7,12 +7,12 @@
 
 from blake3 import blake3
 
-MOST_BYTES = 1 << 20  # of one version, complete or as a delta
-DEPTH = 24  # nesting of brackets
-NO_BRACKETS = bytes(byte for byte in range(256) if byte not in b"[]{}")
+MAX_BYTES = 1 << 20  # of one version, complete or as a delta
+MAX_NESTING = 24  # nesting of brackets
+NON_BRACKET_BYTES = bytes(byte for byte in range(256) if byte not in b"[]{}")
 
 
-class UnreadableError(ValueError):
+class InvalidDocumentError(ValueError):
     """The bytes are not a valid document."""
 
 
@@ -29,22 +29,22 @@
 
 
 def read(data: bytes) -> dict[str, Any]:
-    """Parse a document; raises UnreadableError if the bytes are not a valid one."""
+    """Parse a document; raises InvalidDocumentError if the bytes are not a valid one."""
     depth = deepest = 0
-    for byte in data.translate(None, NO_BRACKETS):  # brackets in strings count too
+    for byte in data.translate(None, NON_BRACKET_BYTES):  # brackets in strings count too
         if byte in b"[{":
             depth += 1
             deepest = max(deepest, depth)
         else:
             depth -= 1
-    if deepest > DEPTH:
-        raise UnreadableError(f"nested {deepest} deep")
+    if deepest > MAX_NESTING:
+        raise InvalidDocumentError(f"nested {deepest} deep")
     try:
         found = json.loads(data.decode(), parse_constant=_no_constant)
     except (ValueError, RecursionError) as problem:
-        raise UnreadableError(f"no JSON: {problem}") from problem
+        raise InvalidDocumentError(f"no JSON: {problem}") from problem
     if not isinstance(found, dict):
-        raise UnreadableError("not an object")
+        raise InvalidDocumentError("not an object")
     return found
 
 
--- a/capershelf/stream/fields.py
+++ b/capershelf/stream/fields.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 
-class When(Enum):
+class EffectTime(Enum):
     """When a changed field takes effect."""
 
     NOW = "now"
@@ -22,22 +22,22 @@
     NEXT_START = "next start"
 
 
-# The first match applies; any new_value field takes effect at the next start.
-FIELDS: tuple[tuple[str, When], ...] = (
-    (r"settings\.categories(\[\d+\])?(\..*)?", When.NEW_CALLS),
-    (r"settings\.family-info\.(pools-by-class|channels-needed)(\[.*)?", When.NEW_CALLS),
-    (r"settings\.family-info\.(release|t1|says-wait)", When.NOW),
+# The first match applies; any other field takes effect at the next start.
+FIELDS: tuple[tuple[str, EffectTime], ...] = (
+    (r"settings\.categories(\[\d+\])?(\..*)?", EffectTime.NEW_CALLS),
+    (r"settings\.family-info\.(pools-by-class|channels-needed)(\[.*)?", EffectTime.NEW_CALLS),
+    (r"settings\.family-info\.(release|t1|says-wait)", EffectTime.NOW),
     (
         r"settings\.bounds\.(cancel|connect-timeout|max-attempts|max-retry-after|may-probe|retry-after"
         r"|may-duplicate)",
-        When.NOW,
+        EffectTime.NOW,
     ),
-    (r"settings\.contract\.[a-z-]+", When.NOW),
-    (r"settings\.tenants(\[\d+\])?(\..*)?", When.NOW),
-    (r"settings\.over-share-worth", When.NOW),
-    (r"known(\..*|\[.*)?", When.NOW),
-    (r"board", When.NOW),
-    (r"eureka\.url", When.NOW),
+    (r"settings\.contract\.[a-z-]+", EffectTime.NOW),
+    (r"settings\.tenants(\[\d+\])?(\..*)?", EffectTime.NOW),
+    (r"settings\.over-share-worth", EffectTime.NOW),
+    (r"known(\..*|\[.*)?", EffectTime.NOW),
+    (r"board", EffectTime.NOW),
+    (r"eureka\.url", EffectTime.NOW),
 )
 _COMPILED = tuple((re.compile(pattern), when) for pattern, when in FIELDS)
 
@@ -47,17 +47,17 @@
     """A field that differs between two versions."""
 
     path: str
-    when: When
+    when: EffectTime
 
 
-def when_of(path: str) -> When:
+def effect_time_of(path: str) -> EffectTime:
     """When a new value at this path takes effect."""
-    return next((when for pattern, when in _COMPILED if pattern.fullmatch(path)), When.NEXT_START)
+    return next((when for pattern, when in _COMPILED if pattern.fullmatch(path)), EffectTime.NEXT_START)
 
 
 def changes(old: Any, new: Any) -> list[Change]:
     """All fields that differ, sorted by path."""
-    return [Change(path, when_of(path)) for path in sorted(set(_changed_paths(old, new, "")))]
+    return [Change(path, effect_time_of(path)) for path in sorted(set(_changed_paths(old, new, "")))]
 
 
 def _changed_paths(old: Any, new: Any, path: str) -> Iterator[str]:
@@ -83,7 +83,7 @@
         old_value, new_value = old.get(key), new.get(key)
         if isinstance(old_value, Mapping) and isinstance(new_value, Mapping):
             kept[key] = keep_until_start(old_value, new_value, field_path)
-        elif when_of(field_path) is When.NEXT_START:
+        elif effect_time_of(field_path) is EffectTime.NEXT_START:
             if key in old:
                 kept[key] = old_value
         elif key in new:
--- a/capershelf/stream/protocol.py
+++ b/capershelf/stream/protocol.py
@@ -202,8 +202,8 @@
             if code:  # not recorded: the same document may be offered again with another signature
                 return self._refuse(number, whole, code, "", text, record=False)
         form, length = _text(message, "form"), _integer(message, "length", 1)
-        if length > doc.MOST_BYTES:
-            return self._refuse(number, whole, "too-long", "", f"{length} bytes, at most {doc.MOST_BYTES}")
+        if length > doc.MAX_BYTES:
+            return self._refuse(number, whole, "too-long", "", f"{length} bytes, at most {doc.MAX_BYTES}")
         fetch = Fetch(number, form, length, _text(message, "digest"), whole, _integer(message, "parts", 1))
         if fetch.parts != math.ceil(length / PART_BYTES) or form not in ("whole", "delta"):
             raise ProtocolError(f"offer: {fetch.parts} parts of form {form!r} for {length} bytes")
--- a/capershelf/stream/takeover.py
+++ b/capershelf/stream/takeover.py
@@ -10,7 +10,7 @@
 from capershelf import control
 from capershelf.config import Config
 from capershelf.stream import standing
-from capershelf.stream.fields import When, changes, keep_until_start
+from capershelf.stream.fields import EffectTime, changes, keep_until_start
 from capershelf.stream.standing import RuleViolation
 
 LOCAL_KEYS = ("stream", "memory", "name")  # a service must not redirect or rename a proxy
@@ -56,7 +56,7 @@
             return RuleViolation("not-streamed", key, "only the proxy's own file may hold it")
     wanted = merged(base, document)
     effective = keep_until_start(in_force, wanted)
-    notes = tuple(change.path for change in changes(in_force, wanted) if change.when is When.NEXT_START)
+    notes = tuple(change.path for change in changes(in_force, wanted) if change.when is EffectTime.NEXT_START)
     if strict and notes:
         return RuleViolation("next-start", notes[0], "only a start can change it")
     try:
--- a/tests/test_stream_decisions.py
+++ b/tests/test_stream_decisions.py
@@ -16,7 +16,7 @@
 from capershelf import interface as api
 from capershelf.stream import document as doc
 from capershelf.stream import standing, takeover
-from capershelf.stream.fields import When, changes, keep_until_start
+from capershelf.stream.fields import EffectTime, changes, keep_until_start
 from capershelf.stream.ledger import VersionHistory, VersionNumber
 from capershelf.stream.order import MAX_BACKOFF_MS, ServiceFailover
 from capershelf.stream.probation import OutcomeWindow, Probation, ProbationTerms
@@ -140,11 +140,11 @@
     new["eureka"]["url"] = "http://x"
     new["eureka"]["app"] = "Y"
     assert {one.path: one.when for one in changes(OWN, new)} == {
-        "settings.categories[0].aim": When.NEW_CALLS,
-        "settings.tenants": When.NOW,
-        "settings.group-size": When.NEXT_START,
-        "eureka.url": When.NOW,
-        "eureka.app": When.NEXT_START,
+        "settings.categories[0].aim": EffectTime.NEW_CALLS,
+        "settings.tenants": EffectTime.NOW,
+        "settings.group-size": EffectTime.NEXT_START,
+        "eureka.url": EffectTime.NOW,
+        "eureka.app": EffectTime.NEXT_START,
     }
     kept = keep_until_start(OWN, new)
     assert kept["settings"]["group-size"] == 1
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{", b'{"a":NaN}', b"\xff", b"[" * 100_000, b'{"a":' * 5000])
 def test_bytes_that_are_no_document_are_refused(data: bytes) -> None:
-    with pytest.raises(doc.UnreadableError):
+    with pytest.raises(doc.InvalidDocumentError):
         doc.read(data)
 
 
