--- a/capershelf/commands/control.py
+++ b/capershelf/commands/control.py
@@ -22,10 +22,10 @@
 from capershelf.core.clock import SystemClock
 from capershelf.net.tls import Identity
 from capershelf.stream import document, standing
-from capershelf.stream.ledger import Number
+from capershelf.stream.ledger import VersionNumber
 from capershelf.stream.protocol import Published
 from capershelf.stream.rollout import Plan
-from capershelf.stream.service import STATE, ControlService, End, read_version, versions_in
+from capershelf.stream.service import STATE_FILE, ControlService, End, read_version, versions_in
 from capershelf.stream.signing import read_private, sign
 
 FOLDER_ARGUMENT = click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
@@ -110,12 +110,12 @@
 ) -> None:
     """Publish FILE as the next version."""
     settings = document.read(file.read_bytes()) if unchecked else read_valid_version(file)
-    last = max(versions_in(folder), default=Number(1, 0))
-    number = Number(last.epoch, last.version + 1)
+    last = max(versions_in(folder), default=VersionNumber(1, 0))
+    number = VersionNumber(last.epoch, last.version + 1)
     if epoch is not None and epoch != last.epoch:
         if epoch < last.epoch:
             raise click.UsageError(f"epoch {epoch} has ended, the current one is {last.epoch}")
-        number = Number(epoch, 1)
+        number = VersionNumber(epoch, 1)
     if sign_with is not None:
         sign_version(folder, Published.of(number, settings), sign_with, key_name, valid)
     write_atomically(folder / f"{number}.json", document.canonical(settings) + b"\n")
@@ -132,7 +132,7 @@
     """Sign version NUMBER (EPOCH.VERSION) again; a running service offers the newest version again."""
     try:
         epoch, version = number.split(".")
-        published = read_version(folder, Number(int(epoch), int(version)))
+        published = read_version(folder, VersionNumber(int(epoch), int(version)))
     except ValueError as problem:
         raise click.ClickException(f"{number}: {problem}") from problem
     sign_version(folder, published, sign_with, key_name, valid)
@@ -189,7 +189,7 @@
 def status(folder: Path, as_json: bool) -> None:
     """Show the version of each proxy, refused versions and the progress of the roll-out."""
     try:
-        state = document.read((folder / STATE).read_bytes())
+        state = document.read((folder / STATE_FILE).read_bytes())
     except FileNotFoundError:
         state = {"proxies": {}, "rollout": None}
     except (OSError, ValueError) as problem:
--- a/capershelf/stream/keep.py
+++ b/capershelf/stream/keep.py
@@ -1,4 +1,4 @@
-"""The last good version in a folder, in two generations (capershelf/memory/generations.py)."""
+"""Stores the last good version in a folder, in two generations (capershelf/memory/generations.py)."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     unframe,
 )
 from capershelf.stream import document as doc
-from capershelf.stream.ledger import Number
+from capershelf.stream.ledger import VersionNumber
 
 MAGIC = b"CAPSHCFG"
 FORMAT = 1
 
 
-class Kept(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class StoredVersion(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """A version that was in force, as canonical JSON."""
 
     proxy: str
@@ -32,20 +32,24 @@
     document: bytes
 
     @property
-    def number(self) -> Number:
-        return Number(self.epoch, self.version)
+    def number(self) -> VersionNumber:
+        """Epoch and version together."""
+        return VersionNumber(self.epoch, self.version)
 
 
-class Keep:
-    """One thread at a time."""
+class VersionStore:
+    """The stored versions of one proxy.  Not thread-safe."""
 
     def __init__(self, disk: Disk, proxy: str) -> None:
         self._files, self._proxy = Generations(disk, "version"), proxy
         self._generation = 0
 
-    def load(self) -> tuple[Kept | None, list[str]]:
-        """The newest whole one, a line for each file set aside; NewerFormatError for a later release's."""
-        found, said = [], []
+    def load(self) -> tuple[StoredVersion | None, list[str]]:
+        """The newest intact version and a message for each file set aside.
+
+        Raises NewerFormatError for a file that a later release wrote.
+        """
+        found, messages = [], []
         for name, data in list(self._files.read()):
             try:
                 found.append(self._read(data))
@@ -53,15 +57,15 @@
                 raise NewerFormatError(f"{name}: {problem}") from problem
             except (CorruptFileError, RejectedFileError) as problem:
                 kind = "refused" if isinstance(problem, RejectedFileError) else "spoilt"
-                said.append(f"{name}: {problem}; kept as {self._files.quarantine(name, kind)}")
+                messages.append(f"{name}: {problem}; kept as {self._files.quarantine(name, kind)}")
         newest = max(found, key=lambda kept: kept.generation, default=None)
         self._generation = newest.generation if newest is not None else 0
-        return newest, said
+        return newest, messages
 
-    def _read(self, data: bytes) -> Kept:
+    def _read(self, data: bytes) -> StoredVersion:
         _, body = unframe(MAGIC, FORMAT, data, None)
         try:
-            kept = msgspec.msgpack.decode(body, type=Kept)
+            kept = msgspec.msgpack.decode(body, type=StoredVersion)
         except msgspec.DecodeError as problem:
             raise CorruptFileError(f"the body can't be read: {problem}") from problem
         if kept.proxy != self._proxy:
@@ -70,9 +74,9 @@
             raise CorruptFileError("its document is not of its digest")
         return kept
 
-    def save(self, number: Number, digest: str, document: bytes, now_ms: float) -> None:
-        """OSError leaves the one before."""
-        kept = Kept(
+    def save(self, number: VersionNumber, digest: str, document: bytes, now_ms: float) -> None:
+        """Write a version; on OSError the previous one remains."""
+        kept = StoredVersion(
             proxy=self._proxy,
             generation=self._generation + 1,
             epoch=number.epoch,
--- a/tests/test_stream_decisions.py
+++ b/tests/test_stream_decisions.py
@@ -1,4 +1,4 @@
-"""What may be streamed, what holds when, which version follows which, who signs, who gets it.  No I/O."""
+"""Validation, time of effect, version order, signatures, rollout and probation of versions.  No I/O."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from capershelf import interface as api
 from capershelf.stream import document as doc
 from capershelf.stream import standing, takeover
-from capershelf.stream.fields import When, changes, keep_until_start
-from capershelf.stream.ledger import Ledger, Number
-from capershelf.stream.order import MOST_MS, Order
-from capershelf.stream.probation import Measure, Probation, Terms
+from capershelf.stream.fields import EffectTime, changes, keep_until_start
+from capershelf.stream.ledger import VersionHistory, VersionNumber
+from capershelf.stream.order import MAX_BACKOFF_MS, ServiceFailover
+from capershelf.stream.probation import OutcomeWindow, Probation, ProbationTerms
 from capershelf.stream.rollout import Plan, Rollout
 from capershelf.stream.signing import Key, KeyRing, Signature, sign
 from tests.peers import OPERATOR
@@ -30,7 +30,7 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """The operator's settings with one field another; DROP takes it away."""
+    """The operator's settings with one field changed, or removed for DROP."""
     table = copy.deepcopy({"settings": OWN["settings"]})
     at: Any = table
     *way, last = [int(word) if word.isdigit() else word for word in path.split("/")]
@@ -74,8 +74,8 @@
     ],
 )
 def test_each_rule_has_its_code_and_names_its_field(path: str, value: Any, code: str, where: str) -> None:
-    offences = standing.check(changed(path, value), CONTRACT, {"slot-lookup": 9000.0})
-    assert (code, where) in [(one.code, one.path) for one in offences]
+    violations = standing.check(changed(path, value), CONTRACT, {"slot-lookup": 9000.0})
+    assert (code, where) in [(one.code, one.path) for one in violations]
 
 
 def test_the_operators_own_file_and_what_is_more_careful_pass() -> None:
@@ -110,25 +110,25 @@
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400, database=None)
 @given(JSON)
 def test_no_document_of_any_shape_makes_the_checker_or_the_planning_raise(found: Any) -> None:
-    offences = standing.check(found, CONTRACT, {"slot-lookup": 9000.0})
-    if isinstance(found, dict) and not offences:
+    violations = standing.check(found, CONTRACT, {"slot-lookup": 9000.0})
+    if isinstance(found, dict) and not violations:
         takeover.plan(OWN, OWN, found, {}, False, {})
 
 
 def test_what_only_a_start_can_change_waits_and_is_noted() -> None:
     wanted = {"planners": 2, "listen": "127.0.0.1:9"} | changed("settings/bounds/max-attempts", 4)
     found = takeover.plan(OWN, OWN, wanted, {}, False, {})
-    assert isinstance(found, takeover.TakeOver)
+    assert isinstance(found, takeover.ApplicablePlan)
     assert found.notes == ("listen", "planners")
     assert (found.config.planners, found.config.settings.max_attempts) == (1, 4)
     refused = takeover.plan(OWN, OWN, wanted, {}, True, {})
-    assert isinstance(refused, standing.Offence)
+    assert isinstance(refused, standing.RuleViolation)
     assert (refused.code, refused.path) == ("next-start", "listen")
-    for own in takeover.OWN:
+    for own in takeover.LOCAL_KEYS:
         refused = takeover.plan(OWN, OWN, {own: OWN.get(own, {})}, {}, False, {})
-        assert isinstance(refused, standing.Offence)
+        assert isinstance(refused, standing.RuleViolation)
     refused = takeover.plan(OWN, OWN, {"settings": {}}, {}, False, {})
-    assert isinstance(refused, standing.Offence)
+    assert isinstance(refused, standing.RuleViolation)
     assert refused.code == "senseless"
 
 
@@ -140,11 +140,11 @@
     new["eureka"]["url"] = "http://x"
     new["eureka"]["app"] = "Y"
     assert {one.path: one.when for one in changes(OWN, new)} == {
-        "settings.categories[0].aim": When.NEW_CALLS,
-        "settings.tenants": When.NOW,
-        "settings.group-size": When.NEXT_START,
-        "eureka.url": When.NOW,
-        "eureka.app": When.NEXT_START,
+        "settings.categories[0].aim": EffectTime.NEW_CALLS,
+        "settings.tenants": EffectTime.NOW,
+        "settings.group-size": EffectTime.NEXT_START,
+        "eureka.url": EffectTime.NOW,
+        "eureka.app": EffectTime.NEXT_START,
     }
     kept = keep_until_start(OWN, new)
     assert kept["settings"]["group-size"] == 1
@@ -173,47 +173,47 @@
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{", b'{"a":NaN}', b"\xff", b"[" * 100_000, b'{"a":' * 5000])
 def test_bytes_that_are_no_document_are_refused(data: bytes) -> None:
-    with pytest.raises(doc.UnreadableError):
+    with pytest.raises(doc.InvalidDocumentError):
         doc.read(data)
 
 
-def test_the_ledger_believes_no_older_number_and_neither_of_two_that_disagree() -> None:
-    ledger = Ledger(Number(2, 5), "five")
-    assert ledger.judge(Number(2, 5), "five", "a").have
-    assert ledger.judge(Number(2, 5), "other", "a").code == "disagree"
-    assert ledger.judge(Number(2, 4), "four", "a").code == "old-version"
-    assert ledger.judge(Number(1, 9), "nine", "a").code == "old-epoch"
-    assert ledger.judge(Number(3, 1), "one", "a").fetch  # numbers that begin again, under a new epoch
-    assert ledger.judge(Number(2, 6), "six", "a").fetch
-    verdict = ledger.judge(Number(2, 6), "SIX", "b")
+def test_the_history_refuses_older_numbers_and_both_of_two_conflicting_versions() -> None:
+    history = VersionHistory(VersionNumber(2, 5), "five")
+    assert history.evaluate_offer(VersionNumber(2, 5), "five", "a").in_force
+    assert history.evaluate_offer(VersionNumber(2, 5), "other", "a").code == "disagree"
+    assert history.evaluate_offer(VersionNumber(2, 4), "four", "a").code == "old-version"
+    assert history.evaluate_offer(VersionNumber(1, 9), "nine", "a").code == "old-epoch"
+    assert history.evaluate_offer(VersionNumber(3, 1), "one", "a").fetch  # restarted under a new epoch
+    assert history.evaluate_offer(VersionNumber(2, 6), "six", "a").fetch
+    verdict = history.evaluate_offer(VersionNumber(2, 6), "SIX", "b")
     assert verdict.code == "disagree"
     assert "a and b" in verdict.text
-    assert ledger.judge(Number(2, 6), "six", "a").code == "disagree"
-    ledger.refused(Number(2, 7), "seven", "release-gap", "too short")
-    assert ledger.judge(Number(2, 7), "seven", "a").code == "release-gap"
-    ledger.taken(Number(2, 8), "eight")
-    ledger.put_back(Number(2, 8), "eight", Number(2, 5), "five", "harm")
-    assert ledger.judge(Number(2, 8), "eight", "a").code == "put-back"
-    assert ledger.judge(Number(2, 9), "nine", "a").fetch
+    assert history.evaluate_offer(VersionNumber(2, 6), "six", "a").code == "disagree"
+    history.mark_refused(VersionNumber(2, 7), "seven", "release-gap", "too short")
+    assert history.evaluate_offer(VersionNumber(2, 7), "seven", "a").code == "release-gap"
+    history.mark_accepted(VersionNumber(2, 8), "eight")
+    history.roll_back(VersionNumber(2, 8), "eight", VersionNumber(2, 5), "five", "harm")
+    assert history.evaluate_offer(VersionNumber(2, 8), "eight", "a").code == "put-back"
+    assert history.evaluate_offer(VersionNumber(2, 9), "nine", "a").fetch
 
 
 def test_services_are_tried_in_turn_and_then_ever_more_seldom() -> None:
-    order, waits, seen = Order(("a", "b"), 3), [], []
+    order, waits, seen = ServiceFailover(("a", "b"), 3), [], []
     for _ in range(30):
         service, at_ms = order.next(0.0)
         seen.append(service)
         waits.append(at_ms)
-        order.failed()
+        order.record_failure()
     assert seen[:4] == ["a", "b", "a", "b"]
     assert waits[0] == waits[1] == waits[3] == 0.0
     assert 125.0 <= waits[2] <= 250.0
-    assert max(waits) <= MOST_MS
-    assert waits[28] >= MOST_MS / 2
-    order.served()
+    assert max(waits) <= MAX_BACKOFF_MS
+    assert waits[28] >= MAX_BACKOFF_MS / 2
+    order.record_success()
     assert order.next(0.0)[1] == 0.0
-    again = Order(("a", "b"), 3)
+    again = ServiceFailover(("a", "b"), 3)
     for _ in range(2):
-        again.failed()
+        again.record_failure()
     assert again.next(0.0)[1] == waits[2]
 
 
@@ -225,16 +225,18 @@
         Key("gone", private.public_key(), revoked=True),
     ]
     ring = KeyRing(tuple(keys))
-    number = Number(1, 7)
+    number = VersionNumber(1, 7)
     good = sign(private, "k", number, "digest", 100.0)
 
-    def code(signature: Signature, now_ms: float = 60.0, at: Number = number, text: str = "digest") -> str:
+    def code(
+        signature: Signature, now_ms: float = 60.0, at: VersionNumber = number, text: str = "digest"
+    ) -> str:
         return ring.fault(at, text, signature, now_ms)[0]
 
     assert code(good) == ""
     assert code(good, now_ms=101.0) == "expired"
-    assert code(good, at=Number(1, 8)) == code(good, text="other") == "bad-signature"
-    assert code(Signature("k", 200.0, good.value)) == "bad-signature"  # its time can't be put off
+    assert code(good, at=VersionNumber(1, 8)) == code(good, text="other") == "bad-signature"
+    assert code(Signature("k", 200.0, good.value)) == "bad-signature"  # the expiry is signed too
     assert code(Signature("k", 100.0, "zz")) == "bad-signature"
     assert code(Signature()) == "unsigned"
     assert code(sign(other, "k", number, "digest", 100.0)) == "bad-signature"
@@ -245,7 +247,7 @@
 
 def test_a_roll_out_goes_by_stages_and_halts_at_the_first_refusal() -> None:
     proxies = {f"p{n}" for n in range(10)}
-    rollout = Rollout(Number(1, 2), Plan((0.1, 0.5, 1.0), 100.0))
+    rollout = Rollout(VersionNumber(1, 2), Plan((0.1, 0.5, 1.0), 100.0))
     first = rollout.chosen(proxies)
     assert len(first) == 1
     assert not rollout.advance(proxies, proxies, 0.0)
@@ -260,7 +262,7 @@
     for proxy in second - {bad}:
         rollout.ack(proxy, 120.0)
     assert not rollout.advance(proxies, proxies, 10_000.0)
-    assert [rollout.due(proxy, second) for proxy in sorted(second)].count(True) == 4
+    assert [rollout.should_offer(proxy, second) for proxy in sorted(second)].count(True) == 4
     assert "halted at stage 2" in rollout.state
     for stages in ((), (0.5,), (0.5, 0.1, 1.0), (0.0, 1.0)):
         with pytest.raises(ValueError, match="stages"):
@@ -268,12 +270,12 @@
 
 
 def test_a_probation_puts_back_what_refuses_far_more_and_passes_the_rest() -> None:
-    measure = Measure(1000.0)
+    measure = OutcomeWindow(1000.0)
     for at in range(0, 1000, 10):
-        measure.note(float(at), 1, at % 100 == 0)
+        measure.record(float(at), 1, at % 100 == 0)
     given, refused = measure.since(-100.0)
     assert (given, refused) == (100, 10)
-    probation = Probation(Terms(1000.0, 0.2, 50), 1000.0, (given, refused))
+    probation = Probation(ProbationTerms(1000.0, 0.2, 50), 1000.0, (given, refused))
     assert probation.verdict(1500.0, (49, 49)) == ""
     assert probation.verdict(1500.0, (50, 15)) == ""
     assert "32% of 50" in probation.verdict(1500.0, (50, 16))
