--- a/capershelf/stream/follower.py
+++ b/capershelf/stream/follower.py
@@ -339,7 +339,7 @@
             event="version-in-force",
             version=arrived.number,
             service=self._service,
-            notes=f"; from the next start: {', '.join(found.notes)}" if found.notes else "",
+            notes=f"; from the next start on: {', '.join(found.notes)}" if found.notes else "",
         )
         self._carry_out(self._session.accept(arrived, found.notes))
         if self._settings.probation_ms > 0:
